--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -5,7 +5,7 @@
 
 use comfy_table::{presets, CellAlignment, Table};
 use hdrhistogram::Histogram;
-use quaypath_record::{End, Event};
+use quaypath_record::{Event, TransactionEnd};
 use quaypath_rules::{fleet, judge, Breach};
 use quaypath_settings::Deployment;
 use serde::Serialize;
@@ -80,29 +80,29 @@
     let mut shots: HashMap<u64, u64> = HashMap::new();
     for event in events {
         let (mark, act): (u64, Count) = match event {
-            Event::Ask { t, mark, volume, band, .. } => {
+            Event::CommandSent { t, mark, volume, band, .. } => {
                 let plan = deployment.volumes.get(volume).map_or(0, |volume| volume.plan);
                 asked.insert(*mark, (*t, *band, plan));
                 (*mark, Box::new(|sum| sum.row.taken += 1))
             }
-            Event::Final { t, mark, end, .. } => {
+            Event::FinalAnswer { t, mark, end, .. } => {
                 let Some((from, band, _)) = asked.get(mark).copied() else { continue };
                 let (took, due) = (t - from, deployment.core.bands[band].due);
                 let end = *end;
                 let count = move |sum: &mut Sum| match end {
-                    End::Settled => {
+                    TransactionEnd::Settled => {
                         sum.row.settled += 1;
                         sum.row.late += u64::from(took > due);
                         let _ = sum.latency.record((took * 1e6) as u64);
                     }
-                    End::Declined => sum.row.declined += 1,
-                    End::Scrapped => sum.row.scrapped += 1,
+                    TransactionEnd::Declined => sum.row.declined += 1,
+                    TransactionEnd::Scrapped => sum.row.scrapped += 1,
                 };
                 (*mark, Box::new(count))
             }
-            Event::Left { mark, .. } => (*mark, Box::new(|sum| sum.row.left += 1)),
-            Event::Cut { mark, .. } => (*mark, Box::new(|sum| sum.row.cut += 1)),
-            Event::Arrive { mark, .. } => {
+            Event::ClientCancelled { mark, .. } => (*mark, Box::new(|sum| sum.row.left += 1)),
+            Event::ClientConnectionLost { mark, .. } => (*mark, Box::new(|sum| sum.row.cut += 1)),
+            Event::ShotArrived { mark, .. } => {
                 let count = shots.entry(*mark).or_default();
                 *count += 1;
                 let further = u64::from(*count > 1);
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -136,7 +136,7 @@
             }
         }
         if !self.twin {
-            record.put(Event::Started { t: record.clock.now(), gateway: number });
+            record.put(Event::GatewayStarted { t: record.clock.now(), gateway: number });
         }
         let mut child = command.spawn().map_err(io(options.gateway.display().to_string()))?;
         let (stdin, stdout) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
@@ -215,7 +215,7 @@
                 return;
             }
             // Until it is reaped it may still have taken something, on a machine that is slow to kill.
-            record.put(Event::Killed { t: record.clock.now(), gateway: self.number });
+            record.put(Event::GatewayKilled { t: record.clock.now(), gateway: self.number });
         }
     }
 
@@ -419,7 +419,7 @@
                 };
                 let (from, to) = (gateways(from), gateways(to));
                 let (t, kind) = (self.record.clock.now(), name_of(*kind));
-                self.record.put(Event::Link { t, kind, from, to, size: *size, begins: *begins });
+                self.record.put(Event::LinkFault { t, kind, from, to, size: *size, begins: *begins });
             }
             Act::StopGateway { number } | Act::ContinueGateway { number } => {
                 let begins = matches!(act, Act::StopGateway { .. });
--- a/crates/day/src/shares.rs
+++ b/crates/day/src/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use quaypath_record::{End, Event};
+use quaypath_record::{Event, TransactionEnd};
 use quaypath_settings::Deployment;
 use serde::Serialize;
 
@@ -86,7 +86,7 @@
     };
     for event in events {
         match event {
-            Event::Ask { t, gateway, mark, volume, band, units, .. } => {
+            Event::CommandSent { t, gateway, mark, volume, band, units, .. } => {
                 let of = volumes.entry(*volume).or_default();
                 let units = f64::from(*units);
                 of.asked += units;
@@ -96,13 +96,13 @@
                 }
                 open.insert(*mark, (*t, *volume, units, core.bands[*band].due));
             }
-            Event::Final { t, mark, end: End::Settled, .. } => {
+            Event::FinalAnswer { t, mark, end: TransactionEnd::Settled, .. } => {
                 let Some((from, volume, units, due)) = open.remove(mark) else { continue };
                 if t - from <= due {
                     volumes.entry(volume).or_default().served += units;
                 }
             }
-            Event::Arrive { t, node, gateway, mark, volume, units, .. } => {
+            Event::ShotArrived { t, node, gateway, mark, volume, units, .. } => {
                 let units = f64::from(*units);
                 if cold.get(node).is_some_and(|up| t - up < cold_for) {
                     given += units;
@@ -117,14 +117,14 @@
                     of.over = of.over.max(pour(&mut of.seen, *t, limit.rate, limit.burst, units, true));
                 }
             }
-            Event::Up { t, node, cold: true, .. } => {
+            Event::NodeStarted { t, node, cold: true, .. } => {
                 cold.insert(node.clone(), *t);
                 shares.cold_nodes += 1;
             }
-            Event::Down { t, node } => {
+            Event::NodeStopped { t, node } => {
                 borne += cold.remove(node).map_or(0.0, |up| bears(t - up));
             }
-            Event::Fell { .. } => shares.fell += 1,
+            Event::NodeOverloaded { .. } => shares.fell += 1,
             _ => {}
         }
     }
--- a/crates/day/src/told.rs
+++ b/crates/day/src/told.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quaypath_record::Event;
-use quaypath_rules::fleet::Book;
+use quaypath_rules::fleet::Parameters;
 use quaypath_settings::Deployment;
 use serde::Serialize;
 
@@ -11,16 +11,16 @@
 const DONE_WITHIN: f64 = 5.0;
 
 /// The figures that a deployment's fleet is judged by; none where initiators do not talk.
-pub fn book(deployment: &Deployment, transit: f64) -> Option<Book> {
+pub fn book(deployment: &Deployment, transit: f64) -> Option<Parameters> {
     let talk = deployment.fleet.as_ref()?;
-    Some(Book {
-        every: talk.probe_every,
+    Some(Parameters {
+        duty_period: talk.probe_every,
         window: talk.window,
         done_within: DONE_WITHIN * talk.probe_every,
         done_at_worst: 2.0 * DONE_WITHIN * talk.probe_every,
-        settles: quaypath_fleet::figures::settles(talk.period, talk.member.len()),
-        most_bytes: quaypath_fleet::figures::most_bytes(talk.period, usize::from(talk.helpers)),
-        longest: quaypath_fleet::message::LONGEST as u64,
+        settle_time: quaypath_fleet::figures::settles(talk.period, talk.member.len()),
+        max_bytes_per_second: quaypath_fleet::figures::most_bytes(talk.period, usize::from(talk.helpers)),
+        longest_datagram: quaypath_fleet::message::LONGEST as u64,
         transit,
     })
 }
@@ -53,15 +53,15 @@
     let (mut detected, mut sums) = (Vec::new(), (0.0, 0u64, 0u64));
     for event in events {
         match event {
-            Event::Started { gateway, .. } => {
+            Event::GatewayStarted { gateway, .. } => {
                 up.insert(*gateway);
                 killed.remove(gateway);
             }
-            Event::Killed { t, gateway } => {
+            Event::GatewayKilled { t, gateway } => {
                 up.remove(gateway);
                 killed.insert(*gateway, *t);
             }
-            Event::View { t, gateway, live, dead, .. } => {
+            Event::MemberView { t, gateway, live, dead, .. } => {
                 for (others, is) in [(live, true), (dead, false)] {
                     for other in others {
                         let was = held.insert((*gateway, *other), is);
@@ -75,13 +75,13 @@
                     }
                 }
             }
-            Event::Up { node, block, .. } => drop(blocks.insert(node, *block)),
-            Event::Probed { t, node, .. } => {
+            Event::NodeStarted { node, block, .. } => drop(blocks.insert(node, *block)),
+            Event::NodeProbed { t, node, .. } => {
                 told.probes += 1;
                 let before = blocks.get(node).and_then(|block| probed.insert(*block, *t));
                 told.longest_break = before.map_or(told.longest_break, |at| told.longest_break.max(t - at));
             }
-            Event::Talked { seconds, datagrams, bytes, longest, .. } => {
+            Event::MemberTraffic { seconds, datagrams, bytes, longest, .. } => {
                 sums = (sums.0 + seconds, sums.1 + datagrams, sums.2 + bytes);
                 let rate = *bytes as f64 / seconds.max(0.5);
                 told.most_bytes_a_second = told.most_bytes_a_second.max(rate);
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -25,7 +25,7 @@
 use quaypath_nvme::controller::{self, Controller};
 use quaypath_nvme::host::{self, Host};
 use quaypath_nvme::{status, BLOCK_SIZE};
-use quaypath_record::{apart::Keeper, Clock};
+use quaypath_record::{background::BackgroundFile, Clock};
 use quaypath_settings::{Deployment, Mode};
 use rustix::ioctl;
 use tracing::{debug, info, warn};
@@ -193,7 +193,7 @@
     /// Connections with output to be written at the end of this turn.
     dirty: Vec<u64>,
     list: List,
-    keeper: Keeper,
+    keeper: BackgroundFile,
     pub calls: VecDeque<Call>,
     pub calls_ready: Rc<Notify>,
     marks_from: u64,
@@ -301,7 +301,7 @@
             nodes: BTreeMap::new(),
             dirty: Vec::new(),
             list,
-            keeper: Keeper::start(options.list.clone(), |path, error| {
+            keeper: BackgroundFile::start(options.list.clone(), |path, error| {
                 warn!(path = %path.display(), %error, "the node list is not kept");
             }),
             calls: VecDeque::new(),
@@ -575,7 +575,7 @@
 
     pub fn news(&mut self, news: &News) {
         let known = self.list.take(self.now, news);
-        self.keeper.keep(self.list.bytes());
+        self.keeper.write(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
         self.events.push_back(Happened::List(ListScope::Whole, known));
     }
--- a/crates/initiator/src/list.rs
+++ b/crates/initiator/src/list.rs
@@ -148,7 +148,7 @@
         list.take(50.0, &news(listed.clone()));
         list.take(51.0, &news([listed, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
         assert_eq!(list.known().len(), 2);
-        quaypath_record::apart::replace(&path, &list.bytes()).unwrap();
+        quaypath_record::background::replace(&path, &list.bytes()).unwrap();
         assert_eq!(List::load(&path).0.known(), list.known());
         std::fs::write(&path, b"[{\"node\":").unwrap();
         let (torn, told) = List::load(&path);
--- a/crates/load/src/net.rs
+++ b/crates/load/src/net.rs
@@ -18,7 +18,7 @@
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::{status, QUEUE_SIZE};
-use quaypath_record::{Clock, End, Event as Line, Writer};
+use quaypath_record::{Clock, Event as Line, TransactionEnd, Writer};
 use quaypath_standins::serve::{read_all, Output};
 
 use crate::account::Cell;
@@ -279,7 +279,7 @@
         let (data, expected) = if writes { (vec![0x5a; length], 0) } else { (Vec::new(), length) };
         if let Some(record) = &self.options.record {
             let key = u64::from(arrival.volume) << 32 | u64::from(arrival.key);
-            record.put(Line::Ask {
+            record.put(Line::CommandSent {
                 t: now,
                 gateway: peer as u32,
                 mark,
@@ -319,7 +319,7 @@
             });
         let Some((number, cid)) = found else { return };
         if let Some(record) = &self.options.record {
-            record.put(Line::Left { t: self.options.clock.now(), mark });
+            record.put(Line::ClientCancelled { t: self.options.clock.now(), mark });
         }
         if let Some(admin) = self.peers[peer].queues.first_mut() {
             if let Some((_, mut bytes)) =
@@ -366,11 +366,11 @@
         };
         if let (Some(record), false) = (&self.options.record, answer == Answer::Aborted) {
             let end = match answer {
-                Answer::Settled => End::Settled,
-                Answer::Declined(_) => End::Declined,
-                _ => End::Scrapped,
+                Answer::Settled => TransactionEnd::Settled,
+                Answer::Declined(_) => TransactionEnd::Declined,
+                _ => TransactionEnd::Scrapped,
             };
-            record.put(Line::Final { t: now, gateway: peer as u32, mark, end });
+            record.put(Line::FinalAnswer { t: now, gateway: peer as u32, mark, end });
         }
         self.generator.answered(now, mark, answer);
     }
@@ -382,7 +382,7 @@
             let _ = queue.stream.get_ref().shutdown(std::net::Shutdown::Both);
             for mark in queue.asked.into_iter().filter(|mark| *mark != 0) {
                 if let Some(record) = &self.options.record {
-                    record.put(Line::Cut { t: now, gateway: peer as u32, mark });
+                    record.put(Line::ClientConnectionLost { t: now, gateway: peer as u32, mark });
                 }
                 self.generator.cut(now, mark);
             }
--- a/crates/load/src/recorded.rs
+++ b/crates/load/src/recorded.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::path::Path;
 
-use quaypath_record::{Event, Lines};
+use quaypath_record::{Event, RecordReader};
 use quaypath_settings::{Deployment, Recorded, Remap};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -32,11 +32,11 @@
 }
 
 /// First tries of the project's own record.
-pub struct OwnRecord(Lines);
+pub struct OwnRecord(RecordReader);
 
 impl OwnRecord {
     pub fn open(path: &Path) -> Result<Self, String> {
-        Lines::open(path).map(OwnRecord).map_err(|error| error.to_string())
+        RecordReader::open(path).map(OwnRecord).map_err(|error| error.to_string())
     }
 }
 
@@ -45,7 +45,9 @@
         for event in &mut self.0 {
             let event = event.map_err(|error| error.to_string())?;
             // A try of the same operation that is not its first is the clients' doing, and will be again.
-            let Event::Ask { t, gateway, mark, volume, band, units, key, budget } = event else { continue };
+            let Event::CommandSent { t, gateway, mark, volume, band, units, key, budget } = event else {
+                continue;
+            };
             if mark & 0xff == 0 {
                 return Ok(Some(Row {
                     at: t,
@@ -326,7 +328,7 @@
     fn own_record() {
         let path = std::env::temp_dir().join(format!("quaypath-own-{}.jsonl", std::process::id()));
         let ask = |mark: u64| {
-            let line = Event::Ask {
+            let line = Event::CommandSent {
                 t: mark as f64,
                 gateway: 2,
                 mark,
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -19,7 +19,7 @@
 use quaypath_initiator::{core, run, Options};
 use quaypath_platform::Config;
 use quaypath_programs::{exit, say, Logs};
-use quaypath_record::{apart, Clock};
+use quaypath_record::{background, Clock};
 use quaypath_settings::{Deployment, Signalled, Talk};
 
 /// Takes transactions of clients over NVMe/TCP, or the platform's HTTP, and schedules them over the storage nodes.
@@ -105,7 +105,7 @@
         number.ok_or(format!("'{word}' is not a number from 0 to {most}"))
     };
     match line.split_whitespace().collect::<Vec<_>>()[..] {
-        ["disk", seconds] => apart::stand_still(Duration::from_secs_f64(number(seconds, 3600.0)?)),
+        ["disk", seconds] => background::stall_disk(Duration::from_secs_f64(number(seconds, 3600.0)?)),
         ["clock", rate, step] => {
             skew.set(Clock::default().now(), number(rate, 10.0)?, number(step, 86400.0)?)
         }
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::sync::{Arc, OnceLock};
 
-use quaypath_record::apart::Passing;
+use quaypath_record::background::StallableWriter;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
@@ -42,7 +42,7 @@
 impl Write for Told {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
-        let mut out = Passing(std::io::stderr());
+        let mut out = StallableWriter(std::io::stderr());
         if dropped > self.told {
             self.told = dropped;
             writeln!(
@@ -55,7 +55,7 @@
     }
 
     fn flush(&mut self) -> std::io::Result<()> {
-        Passing(std::io::stderr()).flush()
+        StallableWriter(std::io::stderr()).flush()
     }
 }
 
--- a/crates/programs/tests/load.rs
+++ b/crates/programs/tests/load.rs
@@ -194,7 +194,7 @@
     let events = quaypath_record::read(&[folder.path("target.jsonl")]).unwrap_or_default();
     events
         .iter()
-        .filter(|event| matches!(event, Event::Arrive { gateway: from, .. } if *from == gateway))
+        .filter(|event| matches!(event, Event::ShotArrived { gateway: from, .. } if *from == gateway))
         .count()
 }
 
--- a/crates/record/src/apart.rs
+++ b/crates/record/src/background.rs
@@ -12,12 +12,12 @@
 static STANDS_UNTIL: Mutex<Option<Instant>> = Mutex::new(None);
 
 /// From now on this process's disk takes nothing for so long; nothing more after zero.
-pub fn stand_still(lasts: Duration) {
+pub fn stall_disk(lasts: Duration) {
     *guard(&STANDS_UNTIL) = Some(Instant::now() + lasts);
 }
 
 /// Waits for as long as the disk stands still.
-pub fn pass() {
+pub fn wait_while_stalled() {
     loop {
         let until = *guard(&STANDS_UNTIL);
         let now = Instant::now();
@@ -33,16 +33,16 @@
 }
 
 /// A writer whose every write passes the disk that may stand still.
-pub struct Passing<W>(pub W);
+pub struct StallableWriter<W>(pub W);
 
-impl<W: Write> Write for Passing<W> {
+impl<W: Write> Write for StallableWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        pass();
+        wait_while_stalled();
         self.0.write(bytes)
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        pass();
+        wait_while_stalled();
         self.0.flush()
     }
 }
@@ -50,11 +50,11 @@
 /// Writes beside the file, makes it durable and renames it, so that a kill leaves the old content or the new one.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let beside = path.with_extension("new");
-    pass();
+    wait_while_stalled();
     let mut file = std::fs::File::create(&beside)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    pass();
+    wait_while_stalled();
     std::fs::rename(&beside, path)
 }
 
@@ -71,14 +71,14 @@
 
 /// Keeps a file at the content given last. One content waits at most: a newer one takes its place. The latest is on
 /// disk as soon as the write before it is through, so within the time of two writes.
-pub struct Keeper {
+pub struct BackgroundFile {
     slot: Arc<(Mutex<Slot>, Condvar)>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Keeper {
+impl BackgroundFile {
     /// `failed` is told of each write that fails, on the keeper's thread.
-    pub fn start(path: PathBuf, failed: impl Fn(&Path, io::Error) + Send + 'static) -> Keeper {
+    pub fn start(path: PathBuf, failed: impl Fn(&Path, io::Error) + Send + 'static) -> BackgroundFile {
         let slot = Arc::<(Mutex<Slot>, Condvar)>::default();
         let shared = slot.clone();
         let run = move || {
@@ -102,11 +102,11 @@
             }
         };
         let thread = std::thread::Builder::new().name("keeper".into()).spawn(run).expect("a thread");
-        Keeper { slot, thread: Some(thread) }
+        BackgroundFile { slot, thread: Some(thread) }
     }
 
     /// Gives the file new content; returns at once.
-    pub fn keep(&self, bytes: Vec<u8>) {
+    pub fn write(&self, bytes: Vec<u8>) {
         let (slot, changed) = &*self.slot;
         let mut at = guard(slot);
         at.superseded += u64::from(at.next.replace(bytes).is_some());
@@ -119,7 +119,7 @@
     }
 
     /// Waits until all is written, or so long; whether it is.
-    pub fn settle(&self, within: Duration) -> bool {
+    pub fn wait_until_written(&self, within: Duration) -> bool {
         let (slot, changed) = &*self.slot;
         let busy = |at: &mut Slot| at.writing || at.next.is_some();
         let waited = changed.wait_timeout_while(guard(slot), within, busy);
@@ -128,9 +128,9 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for BackgroundFile {
     fn drop(&mut self) {
-        let settled = self.settle(LAST_WAIT);
+        let settled = self.wait_until_written(LAST_WAIT);
         guard(&self.slot.0).over = true;
         self.slot.1.notify_all();
         // A disk that still stands keeps its thread, and nobody waits for it.
@@ -152,19 +152,19 @@
         let folder = std::env::temp_dir().join(format!("quaypath-apart-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (list, record) = (folder.join("nodes.list"), folder.join("record.jsonl"));
-        let keeper = Keeper::start(list.clone(), |_, error| panic!("{error}"));
+        let keeper = BackgroundFile::start(list.clone(), |_, error| panic!("{error}"));
         let writer = Writer::file(&record, Clock::default()).unwrap();
-        keeper.keep(b"first".to_vec());
-        assert!(keeper.settle(Duration::from_secs(60)));
-        stand_still(Duration::from_secs(3600));
+        keeper.write(b"first".to_vec());
+        assert!(keeper.wait_until_written(Duration::from_secs(60)));
+        stall_disk(Duration::from_secs(3600));
         for nth in 0..1000 {
-            keeper.keep(format!("content {nth}").into_bytes());
-            writer.put(Event::Down { t: f64::from(nth), node: "n".into() });
+            keeper.write(format!("content {nth}").into_bytes());
+            writer.put(Event::NodeStopped { t: f64::from(nth), node: "n".into() });
         }
         assert!(keeper.superseded() >= 998);
         assert_eq!(std::fs::read(&list).unwrap(), b"first", "nothing passes while it stands");
-        stand_still(Duration::ZERO);
-        assert!(keeper.settle(Duration::from_secs(60)));
+        stall_disk(Duration::ZERO);
+        assert!(keeper.wait_until_written(Duration::from_secs(60)));
         writer.flush().unwrap();
         assert_eq!(std::fs::read(&list).unwrap(), b"content 999");
         assert_eq!(crate::read(&[record]).unwrap().len(), 1000);
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -4,7 +4,7 @@
 //! Times are seconds on the clock of [`Clock`], which all writers on one machine share to within microseconds.
 //! Each time is taken when the bytes were read or written, so it carries that program's own delay.
 
-pub mod apart;
+pub mod background;
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Read, Write};
@@ -20,7 +20,7 @@
 /// How a transaction ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum TransactionEnd {
     Settled,
     Declined,
     Scrapped,
@@ -45,10 +45,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Listed {
+pub enum ListedCondition {
     Ready,
     Draining,
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// One line. `mark` names a transaction: the client's operation times 256, plus the number of the client's try.
@@ -56,7 +57,8 @@
 #[serde(tag = "e", rename_all = "lowercase")]
 pub enum Event {
     /// A client wrote a command to a gateway. `budget`: how long it waits, seconds.
-    Ask {
+    #[serde(rename = "ask")]
+    CommandSent {
         t: f64,
         gateway: u32,
         mark: u64,
@@ -67,25 +69,17 @@
         budget: f64,
     },
     /// Its final answer was read.
-    Final {
-        t: f64,
-        gateway: u32,
-        mark: u64,
-        end: End,
-    },
+    #[serde(rename = "final")]
+    FinalAnswer { t: f64, gateway: u32, mark: u64, end: TransactionEnd },
     /// The client stopped waiting and said so (abort or disconnect).
-    Left {
-        t: f64,
-        mark: u64,
-    },
+    #[serde(rename = "left")]
+    ClientCancelled { t: f64, mark: u64 },
     /// The connection to the gateway ended while the client waited.
-    Cut {
-        t: f64,
-        gateway: u32,
-        mark: u64,
-    },
+    #[serde(rename = "cut")]
+    ClientConnectionLost { t: f64, gateway: u32, mark: u64 },
     /// A target read a whole command.
-    Arrive {
+    #[serde(rename = "arrive")]
+    ShotArrived {
         t: f64,
         node: String,
         gateway: u32,
@@ -96,100 +90,56 @@
         band: usize,
     },
     /// The command's effect took place.
-    Ran {
-        t: f64,
-        node: String,
-        mark: u64,
-    },
+    #[serde(rename = "ran")]
+    EffectApplied { t: f64, node: String, mark: u64 },
     /// A tagged repeat was recognised; its effect did not take place again.
-    Dropped {
-        t: f64,
-        node: String,
-        mark: u64,
-    },
+    #[serde(rename = "dropped")]
+    RepeatDropped { t: f64, node: String, mark: u64 },
     /// The target is done with a shot.
-    Ended {
-        t: f64,
-        node: String,
-        gateway: u32,
-        mark: u64,
-        shot: u32,
-        end: ShotEnd,
-    },
+    #[serde(rename = "ended")]
+    ShotEnded { t: f64, node: String, gateway: u32, mark: u64, shot: u32, end: ShotEnd },
     /// A target came up; `cold` where at part of its capacity.
-    Up {
-        t: f64,
-        node: String,
-        block: i64,
-        zone: String,
-        cold: bool,
-    },
-    Down {
-        t: f64,
-        node: String,
-    },
+    #[serde(rename = "up")]
+    NodeStarted { t: f64, node: String, block: i64, zone: String, cold: bool },
+    #[serde(rename = "down")]
+    NodeStopped { t: f64, node: String },
     /// A cold target was pushed over.
-    Fell {
-        t: f64,
-        node: String,
-    },
+    #[serde(rename = "fell")]
+    NodeOverloaded { t: f64, node: String },
     /// The register wrote this to a gateway. `listed_at`: when its list held it.
-    Told {
-        t: f64,
-        gateway: u32,
-        node: String,
-        condition: Listed,
-        listed_at: f64,
-    },
+    #[serde(rename = "told")]
+    ListEntrySent { t: f64, gateway: u32, node: String, condition: ListedCondition, listed_at: f64 },
     /// The register's own list changed.
-    Lists {
-        t: f64,
-        node: String,
-        condition: Listed,
-    },
+    #[serde(rename = "lists")]
+    ListChanged { t: f64, node: String, condition: ListedCondition },
     /// A gateway process started, with nothing but its last list.
-    Started {
-        t: f64,
-        gateway: u32,
-    },
-    Killed {
-        t: f64,
-        gateway: u32,
-    },
+    #[serde(rename = "started")]
+    GatewayStarted { t: f64, gateway: u32 },
+    #[serde(rename = "killed")]
+    GatewayKilled { t: f64, gateway: u32 },
     /// A scripted fault began or ended.
-    Fault {
-        t: f64,
-        kind: String,
-        on: String,
-        begins: bool,
-    },
+    Fault { t: f64, kind: String, on: String, begins: bool },
     /// A scripted fault of links began or ended; the gateways at both ends, nodes and register left out.
-    Link {
-        t: f64,
-        kind: String,
-        from: Vec<u32>,
-        to: Vec<u32>,
-        size: f64,
-        begins: bool,
-    },
+    #[serde(rename = "link")]
+    LinkFault { t: f64, kind: String, from: Vec<u32>, to: Vec<u32>, size: f64, begins: bool },
     /// A target was asked by a gateway how it does.
-    Probed {
-        t: f64,
-        node: String,
-        gateway: u32,
-    },
+    #[serde(rename = "probed")]
+    NodeProbed { t: f64, node: String, gateway: u32 },
     /// A datagram on its way from a member of the fleet told what it holds of others. `process` tells two of one
     /// number apart.
-    View {
+    #[serde(rename = "view")]
+    MemberView {
         t: f64,
         gateway: u32,
         process: u32,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         live: Vec<u32>,
         dead: Vec<u32>,
     },
     /// What one process sent to others of the fleet since the last such line of it, a second ago or more.
-    Talked {
+    #[serde(rename = "talked")]
+    MemberTraffic {
         t: f64,
         gateway: u32,
         process: u32,
@@ -203,26 +153,26 @@
 impl Event {
     pub fn time(&self) -> f64 {
         match self {
-            Event::Ask { t, .. }
-            | Event::Final { t, .. }
-            | Event::Left { t, .. }
-            | Event::Cut { t, .. }
-            | Event::Arrive { t, .. }
-            | Event::Ran { t, .. }
-            | Event::Dropped { t, .. }
-            | Event::Ended { t, .. }
-            | Event::Up { t, .. }
-            | Event::Down { t, .. }
-            | Event::Fell { t, .. }
-            | Event::Told { t, .. }
-            | Event::Lists { t, .. }
-            | Event::Started { t, .. }
-            | Event::Killed { t, .. }
+            Event::CommandSent { t, .. }
+            | Event::FinalAnswer { t, .. }
+            | Event::ClientCancelled { t, .. }
+            | Event::ClientConnectionLost { t, .. }
+            | Event::ShotArrived { t, .. }
+            | Event::EffectApplied { t, .. }
+            | Event::RepeatDropped { t, .. }
+            | Event::ShotEnded { t, .. }
+            | Event::NodeStarted { t, .. }
+            | Event::NodeStopped { t, .. }
+            | Event::NodeOverloaded { t, .. }
+            | Event::ListEntrySent { t, .. }
+            | Event::ListChanged { t, .. }
+            | Event::GatewayStarted { t, .. }
+            | Event::GatewayKilled { t, .. }
             | Event::Fault { t, .. }
-            | Event::Link { t, .. }
-            | Event::Probed { t, .. }
-            | Event::View { t, .. }
-            | Event::Talked { t, .. } => *t,
+            | Event::LinkFault { t, .. }
+            | Event::NodeProbed { t, .. }
+            | Event::MemberView { t, .. }
+            | Event::MemberTraffic { t, .. } => *t,
         }
     }
 }
@@ -283,7 +233,7 @@
 }
 
 /// Writes what comes until nobody is left to send; the first failure is told at the next flush.
-fn write_out(mut file: BufWriter<apart::Passing<File>>, queue: &Receiver<Note>) {
+fn write_out(mut file: BufWriter<background::StallableWriter<File>>, queue: &Receiver<Note>) {
     let mut failed = None;
     for note in queue {
         match note {
@@ -312,7 +262,7 @@
 
     pub fn file(path: &Path, clock: Clock) -> Result<Self, Error> {
         let io = |source| Error::Io { path: path.into(), source };
-        let file = BufWriter::new(apart::Passing(File::create(path).map_err(io)?));
+        let file = BufWriter::new(background::StallableWriter(File::create(path).map_err(io)?));
         let (queue, notes) = mpsc::sync_channel(MOST_WAITING);
         let thread = std::thread::Builder::new().name("record".into());
         thread.spawn(move || write_out(file, &notes)).map_err(io)?;
@@ -367,17 +317,17 @@
 const LONGEST: u64 = 64 << 10;
 
 /// One file's events, line by line, in the order written. A torn last line, as a killed writer leaves it, is skipped.
-pub struct Lines {
+pub struct RecordReader {
     path: PathBuf,
     input: BufReader<File>,
     text: Vec<u8>,
     line: usize,
 }
 
-impl Lines {
+impl RecordReader {
     pub fn open(path: &Path) -> Result<Self, Error> {
         let file = File::open(path).map_err(|source| Error::Io { path: path.into(), source })?;
-        Ok(Lines { path: path.into(), input: BufReader::new(file), text: Vec::new(), line: 0 })
+        Ok(RecordReader { path: path.into(), input: BufReader::new(file), text: Vec::new(), line: 0 })
     }
 
     /// The next event; nothing at the end.
@@ -401,7 +351,7 @@
     }
 }
 
-impl Iterator for Lines {
+impl Iterator for RecordReader {
     type Item = Result<Event, Error>;
 
     fn next(&mut self) -> Option<Self::Item> {
@@ -413,7 +363,7 @@
 pub fn read(paths: &[PathBuf]) -> Result<Vec<Event>, Error> {
     let mut events = Vec::new();
     for path in paths {
-        for event in Lines::open(path)? {
+        for event in RecordReader::open(path)? {
             events.push(event?);
         }
     }
--- a/crates/rules/src/fleet.rs
+++ b/crates/rules/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The promises of the fleet, judged from what targets, links and the day's runner saw. Shares no code with the cores.
 //!
 //! What a fault excuses is told in each promise: a fault that touches a process or a link excuses what is held of it
-//! until [`Book::settles`] after its end, and a cut lets both sides do a duty until [`Book::window`] after it heals.
+//! until [`Parameters::settle_time`] after its end, and a cut lets both sides do a duty until [`Parameters::window`] after it heals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,9 +11,9 @@
 
 /// The figures of the promises. Times in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Book {
+pub struct Parameters {
     /// How often each duty is to be done.
-    pub every: f64,
+    pub duty_period: f64,
     /// How long two may both do a duty.
     pub window: f64,
     /// Within this of the last fault anywhere in the fleet each duty is done again, whatever became of who did it.
@@ -21,10 +21,10 @@
     /// In any case within this, however many faults follow each other.
     pub done_at_worst: f64,
     /// After this, what members hold of each other is so.
-    pub settles: f64,
+    pub settle_time: f64,
     /// Most that a process sends, bytes a second, and its longest datagram.
-    pub most_bytes: f64,
-    pub longest: u64,
+    pub max_bytes_per_second: f64,
+    pub longest_datagram: u64,
     /// How far apart two programs' times of one moment may lie.
     pub transit: f64,
 }
@@ -73,12 +73,13 @@
 pub struct Breach {
     pub promise: Promise,
     pub t: f64,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "promise {} at {:.3}: {}", self.promise.name(), self.t, self.what)
+        write!(f, "promise {} at {:.3}: {}", self.promise.name(), self.t, self.description)
     }
 }
 
@@ -137,12 +138,12 @@
     let mut links: Vec<(String, Vec<u32>, Vec<u32>, f64)> = Vec::new();
     for event in events {
         match event {
-            Event::Started { t, gateway } => {
+            Event::GatewayStarted { t, gateway } => {
                 let life = facts.lives.entry(*gateway).or_default();
                 begin(&mut life.up, *t);
                 life.touched.push((*t, *t));
             }
-            Event::Killed { t, gateway } => {
+            Event::GatewayKilled { t, gateway } => {
                 let life = facts.lives.entry(*gateway).or_default();
                 end(&mut life.up, *t);
                 end(&mut life.touched, *t);
@@ -170,7 +171,7 @@
                     }
                 }
             }
-            Event::Link { t, kind, from, to, size, begins } => {
+            Event::LinkFault { t, kind, from, to, size, begins } => {
                 let heavy = match &kind[..] {
                     "cut" | "one-way" | "hole" => true,
                     "lose" => *size > BORNE_LOSS,
@@ -190,17 +191,17 @@
                     facts.cuts.push((since, *t, ends.0, ends.1));
                 }
             }
-            Event::Up { t, node, block, .. } => {
+            Event::NodeStarted { t, node, block, .. } => {
                 facts.blocks.insert(node.clone(), *block);
                 begin(facts.able.entry(*block).or_default(), *t);
             }
-            Event::Down { t, node } => {
+            Event::NodeStopped { t, node } => {
                 let block = facts.blocks.get(node).copied();
                 if let Some(able) = block.and_then(|block| facts.able.get_mut(&block)) {
                     end(able, *t);
                 }
             }
-            Event::Probed { t, node, gateway } => {
+            Event::NodeProbed { t, node, gateway } => {
                 if let Some(block) = facts.blocks.get(node) {
                     facts.asked.entry(*block).or_default().push((*t, *gateway));
                 }
@@ -260,7 +261,7 @@
 }
 
 /// Every breach of the fleet's promises in a record, whose events come in order of time.
-pub fn judge(book: &Book, events: &[Event]) -> Vec<Breach> {
+pub fn judge(book: &Parameters, events: &[Event]) -> Vec<Breach> {
     let facts = facts(events);
     let mut breaches = Vec::new();
     duties(book, &facts, &mut breaches);
@@ -270,16 +271,17 @@
     breaches
 }
 
-fn duties(book: &Book, facts: &Facts, breaches: &mut Vec<Breach>) {
+fn duties(book: &Parameters, facts: &Facts, breaches: &mut Vec<Breach>) {
     let anyone = facts.lives.values().filter_map(|life| life.up.first()).map(|(from, _)| *from);
     let first = anyone.fold(f64::INFINITY, f64::min);
     for (block, able) in &facts.able {
         let asked = facts.asked.get(block).map_or(&[][..], |asked| asked);
-        for (one, other, from, to) in both(asked, 2.5 * book.every) {
+        for (one, other, from, to) in both(asked, 2.5 * book.duty_period) {
             let from = from.max(facts.healed(to, book.window));
             if to - from > book.window + book.transit {
-                let what = format!("block {block} is probed by {one} and {other} for {:.1} s", to - from);
-                breaches.push(Breach { promise: Promise::OneDoer, t: from, what });
+                let description =
+                    format!("block {block} is probed by {one} and {other} for {:.1} s", to - from);
+                breaches.push(Breach { promise: Promise::OneDoer, t: from, description });
             }
         }
         // Each span in which somebody could ask it, from the first start on.
@@ -290,11 +292,11 @@
             for t in inside.chain([to]) {
                 let quiet = t - before.max(facts.unrest(before, t));
                 if quiet > book.done_within + book.transit || t - before > book.done_at_worst + book.transit {
-                    let what = format!(
+                    let description = format!(
                         "block {block} is not probed for {:.1} s, {quiet:.1} of them quiet",
                         t - before
                     );
-                    breaches.push(Breach { promise: Promise::Done, t: before, what });
+                    breaches.push(Breach { promise: Promise::Done, t: before, description });
                 }
                 before = t;
             }
@@ -302,12 +304,12 @@
     }
 }
 
-fn views(book: &Book, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
-    let settles = book.settles + book.transit;
+fn views(book: &Parameters, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
+    let settle_time = book.settle_time + book.transit;
     // Since when each process holds another dead: a death that is taken back in time is a false alarm, no breach.
     let mut dead_since: BTreeMap<(u32, u32, u32), f64> = BTreeMap::new();
     for event in events {
-        let Event::View { t, gateway, process, live, dead, .. } = event else { continue };
+        let Event::MemberView { t, gateway, process, live, dead, .. } = event else { continue };
         for other in live {
             dead_since.remove(&(*gateway, *process, *other));
         }
@@ -319,37 +321,41 @@
                     false => *dead_since.entry((*gateway, *process, *other)).or_insert(*t),
                 };
                 let long = t - facts.touched(*gateway, *other, *t).max(since);
-                if up == held || long <= settles {
+                if up == held || long <= settle_time {
                     continue;
                 }
                 let promise = if up { Promise::LiveHeldLive } else { Promise::DeadHeldDead };
                 let wrong = if held { "alive" } else { "dead" };
-                let what =
+                let description =
                     format!("{gateway} holds {other} {wrong}, {long:.1} s after the last fault near them");
-                breaches.push(Breach { promise, t: *t, what });
+                breaches.push(Breach { promise, t: *t, description });
             }
         }
     }
 }
 
-fn talk(book: &Book, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
+fn talk(book: &Parameters, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
     let mut speaks: BTreeMap<u32, BTreeSet<u32>> = BTreeMap::new();
     for event in events {
-        let Event::Talked { t, gateway, process, seconds, bytes, longest, .. } = event else { continue };
+        let Event::MemberTraffic { t, gateway, process, seconds, bytes, longest, .. } = event else {
+            continue;
+        };
         let rate = *bytes as f64 / seconds.max(0.5);
-        if rate > book.most_bytes || *longest > book.longest {
-            let what = format!("{gateway} sent {rate:.0} bytes a second, {longest} in one datagram");
-            breaches.push(Breach { promise: Promise::Traffic, t: *t, what });
+        if rate > book.max_bytes_per_second || *longest > book.longest_datagram {
+            let description = format!("{gateway} sent {rate:.0} bytes a second, {longest} in one datagram");
+            breaches.push(Breach { promise: Promise::Traffic, t: *t, description });
         }
         // A second process of a number may speak until it has found out, or the first has.
         let twin = facts.twins.iter().rfind(|(from, number)| number == gateway && *from <= *t);
-        let Some((from, _)) = twin.filter(|(from, _)| t - seconds - from > book.settles) else { continue };
+        let Some((from, _)) = twin.filter(|(from, _)| t - seconds - from > book.settle_time) else {
+            continue;
+        };
         let others = speaks.entry(*gateway).or_default();
         others.insert(*process);
         let started = facts.lives.get(gateway).is_some_and(|life| life.up.iter().any(|(up, _)| up > from));
         if others.len() > 1 && !started {
-            let what = format!("{} processes speak as {gateway}", others.len());
-            breaches.push(Breach { promise: Promise::OneName, t: *t, what });
+            let description = format!("{} processes speak as {gateway}", others.len());
+            breaches.push(Breach { promise: Promise::OneName, t: *t, description });
         }
     }
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,15 +1,15 @@
 //! The seven rules, judged from a record of what crossed the sockets. Shares no code with the initiator.
 //!
-//! [`judge`] takes the deployment's figures ([`Book`]) and the events in order of time, and gives every breach.
+//! [`judge`] takes the deployment's figures ([`Parameters`]) and the events in order of time, and gives every breach.
 //! Both ends take their times when they read or wrote, so two events of different programs can be out of order
-//! by up to [`Book::transit`]; every rule gives that much, and no more.
+//! by up to [`Parameters::transit`]; every rule gives that much, and no more.
 
 pub mod fleet;
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
 
-use quaypath_record::{End, Event, Listed, ShotEnd};
+use quaypath_record::{Event, ListedCondition, ShotEnd, TransactionEnd};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -31,8 +31,8 @@
 pub struct Band {
     pub name: String,
     pub repeat: Repeat,
-    pub scope: Scope,
-    pub window: f64,
+    pub dedup_scope: DedupScope,
+    pub dedup_window: f64,
     pub ordered: bool,
 }
 
@@ -46,20 +46,20 @@
 
 /// The figures of the rules in one deployment. Times in seconds.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct Parameters {
     pub bands: Vec<Band>,
     /// Limit of each volume that has one.
     pub limits: BTreeMap<u32, Limit>,
     pub answer_slack: f64,
     pub drain_grace: f64,
-    pub overload_for: f64,
-    pub key_quiet: f64,
-    pub most_shots: u32,
-    pub copies: bool,
+    pub overload_window: f64,
+    pub key_quiet_period: f64,
+    pub max_shots: u32,
+    pub copies_allowed: bool,
     /// Share of the transactions taken, free shots, look-back.
-    pub further: Option<(f64, f64, f64)>,
+    pub retry_budget: Option<(f64, f64, f64)>,
     /// Where the register must be asked: after this long a gateway counts as told.
-    pub ask_within: Option<f64>,
+    pub poll_within: Option<f64>,
     /// How far apart the times of two programs can be for the same moment.
     pub transit: f64,
 }
@@ -80,12 +80,13 @@
 pub struct Breach {
     pub rule: Rule,
     pub t: f64,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "rule {} at {:.3}: {}", self.rule as u8, self.t, self.what)
+        write!(f, "rule {} at {:.3}: {}", self.rule as u8, self.t, self.description)
     }
 }
 
@@ -113,7 +114,7 @@
     band: usize,
     key: u64,
     budget: f64,
-    answer: Option<(f64, End)>,
+    answer: Option<(f64, TransactionEnd)>,
     /// When the client left, or its connection was cut.
     left: Option<f64>,
     cut: Option<f64>,
@@ -132,7 +133,7 @@
 }
 
 struct Judge<'a> {
-    book: &'a Book,
+    book: &'a Parameters,
     asked: HashMap<u64, Asked>,
     /// Life of each gateway, counted by its starts; and when it was killed last.
     lives: HashMap<u32, u32>,
@@ -141,7 +142,7 @@
     told: HashMap<(u32, String), f64>,
     told_of: HashMap<(u32, String), f64>,
     started: HashMap<u32, f64>,
-    listed: HashMap<String, (f64, Listed)>,
+    listed: HashMap<String, (f64, ListedCondition)>,
     zones: HashMap<String, (i64, String)>,
     /// When each node started last.
     ups: HashMap<String, f64>,
@@ -163,7 +164,7 @@
 }
 
 /// Every breach of the rules in a record, whose events come in order of time.
-pub fn judge(book: &Book, events: &[Event]) -> Vec<Breach> {
+pub fn judge(book: &Parameters, events: &[Event]) -> Vec<Breach> {
     let mut judge = Judge {
         book,
         asked: HashMap::new(),
@@ -189,7 +190,7 @@
     // A client that answers fast can write its line after a target that was faster still.
     for event in events {
         match event {
-            Event::Ask { .. } => judge.ask(event),
+            Event::CommandSent { .. } => judge.ask(event),
             Event::Fault { t, kind, on, begins } if kind == "stall" => {
                 let spans = judge.stalls.entry(on.clone()).or_default();
                 match spans.last_mut() {
@@ -209,12 +210,12 @@
 }
 
 impl Judge<'_> {
-    fn breach(&mut self, rule: Rule, t: f64, what: String) {
-        self.breaches.push(Breach { rule, t, what });
+    fn breach(&mut self, rule: Rule, t: f64, description: String) {
+        self.breaches.push(Breach { rule, t, description });
     }
 
     fn ask(&mut self, event: &Event) {
-        let Event::Ask { t, gateway, mark, band, key, budget, .. } = *event else { return };
+        let Event::CommandSent { t, gateway, mark, band, key, budget, .. } = *event else { return };
         let new = Asked {
             t,
             gateway,
@@ -246,7 +247,7 @@
     fn event(&mut self, event: &Event) {
         self.settle_order(event.time() - 2.0 * self.book.transit);
         match event {
-            Event::Ask { t, gateway, mark, band, key, .. } => {
+            Event::CommandSent { t, gateway, mark, band, key, .. } => {
                 let life = self.life(*gateway);
                 self.asked.get_mut(mark).unwrap().life = life;
                 self.asks.entry((*gateway, life)).or_default().push_back(*t);
@@ -254,18 +255,18 @@
                     self.turns.entry((*gateway, life, *key)).or_default().push(*mark);
                 }
             }
-            Event::Final { t, mark, end, .. } => self.answered(*t, *mark, *end),
-            Event::Left { t, mark } => {
+            Event::FinalAnswer { t, mark, end, .. } => self.answered(*t, *mark, *end),
+            Event::ClientCancelled { t, mark } => {
                 self.asked.get_mut(mark).into_iter().for_each(|asked| asked.left = Some(*t));
             }
-            Event::Cut { t, mark, .. } => {
+            Event::ClientConnectionLost { t, mark, .. } => {
                 self.asked.get_mut(mark).into_iter().for_each(|asked| asked.cut = Some(*t));
             }
-            Event::Arrive { .. } => self.arrived(event),
-            Event::Ran { t, mark, .. } => self.ran(*t, *mark),
-            Event::Dropped { .. } => {}
-            Event::Down { t, node } => self.died(*t, node),
-            Event::Ended { t, node, mark, shot, end, .. } => {
+            Event::ShotArrived { .. } => self.arrived(event),
+            Event::EffectApplied { t, mark, .. } => self.ran(*t, *mark),
+            Event::RepeatDropped { .. } => {}
+            Event::NodeStopped { t, node } => self.died(*t, node),
+            Event::ShotEnded { t, node, mark, shot, end, .. } => {
                 let asked = self.asked.get_mut(mark);
                 let shots = asked.into_iter().flat_map(|asked| asked.shots.iter_mut());
                 let shot = shots.filter(|known| known.shot == *shot && known.node == *node).last();
@@ -273,16 +274,16 @@
                     shot.ended = Some((*t, *end));
                 });
             }
-            Event::Up { t, node, block, zone, .. } => {
+            Event::NodeStarted { t, node, block, zone, .. } => {
                 self.ups.insert(node.clone(), *t);
                 // Another process, under the same name it may be: nobody was told of this start yet.
                 self.told_of.retain(|(_, known), _| known != node);
                 self.zones.insert(node.clone(), (*block, zone.clone()));
             }
-            Event::Fell { t, node } => self.fell(*t, node),
-            Event::Told { t, gateway, node, condition, listed_at } => {
+            Event::NodeOverloaded { t, node } => self.fell(*t, node),
+            Event::ListEntrySent { t, gateway, node, condition, listed_at } => {
                 let key = (*gateway, node.clone());
-                if *condition == Listed::Ready {
+                if *condition == ListedCondition::Ready {
                     self.told.remove(&key);
                     // A list that still shows the process before says nothing of this start.
                     if self.ups.get(node).is_none_or(|up| listed_at >= up) {
@@ -292,16 +293,16 @@
                     self.told.entry(key).or_insert(*t);
                 }
             }
-            Event::Lists { t, node, condition } => {
+            Event::ListChanged { t, node, condition } => {
                 self.listed.insert(node.clone(), (*t, *condition));
             }
-            Event::Started { t, gateway } => {
+            Event::GatewayStarted { t, gateway } => {
                 *self.lives.entry(*gateway).or_default() += 1;
                 self.started.insert(*gateway, *t);
                 self.told.retain(|(known, _), _| known != gateway);
                 self.told_of.retain(|(known, _), _| known != gateway);
             }
-            Event::Killed { t, gateway } => self.killed.entry(*gateway).or_default().push(*t),
+            Event::GatewayKilled { t, gateway } => self.killed.entry(*gateway).or_default().push(*t),
             Event::Fault { kind, on, begins, .. } => {
                 if kind == "partition" {
                     let count = self.cut_off.entry(on.clone()).or_default();
@@ -309,22 +310,25 @@
                 }
             }
             // The fleet's promises are judged apart.
-            Event::Link { .. } | Event::Probed { .. } | Event::View { .. } | Event::Talked { .. } => {}
+            Event::LinkFault { .. }
+            | Event::NodeProbed { .. }
+            | Event::MemberView { .. }
+            | Event::MemberTraffic { .. } => {}
         }
     }
 
-    fn answered(&mut self, t: f64, mark: u64, end: End) {
+    fn answered(&mut self, t: f64, mark: u64, end: TransactionEnd) {
         let Some(asked) = self.asked.get_mut(&mark) else {
             return self.breach(Rule::Answered, t, format!("an answer to {mark:x}, which nobody asked for"));
         };
         let (band, ran) = (asked.band, asked.shots.iter().any(Shot::may_have_run));
         if asked.answer.replace((t, end)).is_some() {
             self.breach(Rule::Answered, t, format!("transaction {mark:x} has a second final answer"));
-        } else if end == End::Declined && ran {
+        } else if end == TransactionEnd::Declined && ran {
             let band = &self.book.bands[band];
             let harmless = match band.repeat {
                 Repeat::Repeatable => true,
-                Repeat::Tagged => band.scope == Scope::All,
+                Repeat::Tagged => band.dedup_scope == DedupScope::All,
                 Repeat::OnceOnly => false,
             };
             if !harmless {
@@ -350,11 +354,11 @@
     }
 
     fn arrived(&mut self, event: &Event) {
-        let Event::Arrive { t, node, gateway, mark, shot, volume, units, .. } = event else { return };
+        let Event::ShotArrived { t, node, gateway, mark, shot, volume, units, .. } = event else { return };
         let (t, mark, units) = (*t, *mark, *units);
         let arrivals = self.arrivals.entry(node.clone()).or_default();
         arrivals.push_back((t, *gateway, units));
-        while arrivals.front().is_some_and(|(at, ..)| *at < t - self.book.overload_for) {
+        while arrivals.front().is_some_and(|(at, ..)| *at < t - self.book.overload_window) {
             arrivals.pop_front();
         }
         self.drained(t, *gateway, node);
@@ -376,7 +380,7 @@
         self.pending.push_back((t, mark, first));
         let asked = self.asked.get_mut(&mark).unwrap();
         asked.shots.push(Shot { node: node.clone(), sent: t, shot: *shot, ended: None });
-        if asked.shots.len() > self.book.most_shots as usize {
+        if asked.shots.len() > self.book.max_shots as usize {
             let what = format!("{mark:x} has had {} shots", asked.shots.len());
             self.breach(Rule::NoEffectTwice, t, what);
         }
@@ -385,10 +389,10 @@
     fn drained(&mut self, t: f64, gateway: u32, node: &str) {
         let told = self.told.get(&(gateway, node.to_string())).copied();
         // Without a call for four times the span a gateway counts as told of what was listed by then.
-        let counts = self.book.ask_within.and_then(|within| {
+        let counts = self.book.poll_within.and_then(|within| {
             let (at, condition) = self.listed.get(node)?;
             let up = self.started.get(&gateway).copied().unwrap_or(0.0);
-            (*condition != Listed::Ready).then_some(at.max(up) + 4.0 * within)
+            (*condition != ListedCondition::Ready).then_some(at.max(up) + 4.0 * within)
         });
         let told = told.unwrap_or(f64::INFINITY).min(counts.unwrap_or(f64::INFINITY));
         let told = self.turn_at(gateway, told);
@@ -408,10 +412,10 @@
         for earlier in ran {
             let (block, zone) = self.zones.get(&earlier.node).cloned().unwrap_or_default();
             let (here, there) = self.zones.get(node).cloned().unwrap_or_default();
-            let grouped = match band.scope {
-                Scope::All => true,
-                Scope::Zone => zone == there,
-                Scope::Cell => block == here,
+            let grouped = match band.dedup_scope {
+                DedupScope::All => true,
+                DedupScope::Zone => zone == there,
+                DedupScope::Cell => block == here,
             };
             match band.repeat {
                 Repeat::Repeatable => {}
@@ -421,7 +425,7 @@
                 Repeat::Tagged if !grouped => {
                     found.push(format!("{} {mark:x} is sent outside the group of its tag", band.name));
                 }
-                Repeat::Tagged if t > earlier.sent + band.window + self.book.transit => {
+                Repeat::Tagged if t > earlier.sent + band.dedup_window + self.book.transit => {
                     found.push(format!("{} {mark:x} is sent after its tag is forgotten", band.name));
                 }
                 Repeat::Tagged => {}
@@ -431,7 +435,7 @@
     }
 
     fn budget(&mut self, t: f64, gateway: u32) {
-        let Some((share, free, look_back)) = self.book.further else { return };
+        let Some((share, free, look_back)) = self.book.retry_budget else { return };
         let life = (gateway, self.life(gateway));
         let further = self.further.entry(life).or_default();
         further.push_back(t);
@@ -474,7 +478,7 @@
             let unseen = self.cut_off.contains_key(&shot.node);
             shot.sent < t && !unseen && shot.ended.is_none_or(|(at, _)| at > t + self.book.transit)
         };
-        if !self.book.copies && asked.shots.iter().any(|shot| running(&shot)) {
+        if !self.book.copies_allowed && asked.shots.iter().any(|shot| running(&shot)) {
             let what = format!("{} {mark:x} has two shots out at once", self.book.bands[asked.band].name);
             self.breach(Rule::NoEffectTwice, t, what);
         }
@@ -516,7 +520,7 @@
                 ));
             } else if first && earlier.shots.iter().any(|shot| shot.uncertain()) {
                 let rest = t - over;
-                if rest < self.book.key_quiet - transit {
+                if rest < self.book.key_quiet_period - transit {
                     found.push(format!("{mark:x} is sent {rest:.3} s after its key's uncertain shot"));
                 }
             }
--- a/crates/rules/tests/promises.rs
+++ b/crates/rules/tests/promises.rs
@@ -1,26 +1,26 @@
 //! Each promise of the fleet: a planted breach that is found, and a case just inside that passes.
 
 use quaypath_record::Event;
-use quaypath_rules::fleet::{judge, Book, Promise};
+use quaypath_rules::fleet::{judge, Parameters, Promise};
 use test_case::test_case;
 
-const BOOK: Book = Book {
-    every: 2.0,
+const BOOK: Parameters = Parameters {
+    duty_period: 2.0,
     window: 4.0,
     done_within: 10.0,
     done_at_worst: 20.0,
-    settles: 15.0,
-    most_bytes: 10_000.0,
-    longest: 1200,
+    settle_time: 15.0,
+    max_bytes_per_second: 10_000.0,
+    longest_datagram: 1200,
     transit: 0.05,
 };
 
 fn started(t: f64, gateway: u32) -> Event {
-    Event::Started { t, gateway }
+    Event::GatewayStarted { t, gateway }
 }
 
 fn killed(t: f64, gateway: u32) -> Event {
-    Event::Killed { t, gateway }
+    Event::GatewayKilled { t, gateway }
 }
 
 fn fault(t: f64, kind: &str, on: &str, begins: bool) -> Event {
@@ -28,27 +28,27 @@
 }
 
 fn link(t: f64, kind: &str, size: f64, begins: bool) -> Event {
-    Event::Link { t, kind: kind.into(), from: vec![1], to: vec![2], size, begins }
+    Event::LinkFault { t, kind: kind.into(), from: vec![1], to: vec![2], size, begins }
 }
 
 fn view(t: f64, live: &[u32], dead: &[u32]) -> Event {
-    Event::View { t, gateway: 1, process: 1, life: 1, live: live.to_vec(), dead: dead.to_vec() }
+    Event::MemberView { t, gateway: 1, process: 1, incarnation: 1, live: live.to_vec(), dead: dead.to_vec() }
 }
 
 fn talked(t: f64, process: u32, bytes: u64, longest: u64) -> Event {
-    Event::Talked { t, gateway: 2, process, seconds: 1.0, datagrams: 9, bytes, longest }
+    Event::MemberTraffic { t, gateway: 2, process, seconds: 1.0, datagrams: 9, bytes, longest }
 }
 
 fn probed(t: f64, gateway: u32) -> Event {
-    Event::Probed { t, node: "n".into(), gateway }
+    Event::NodeProbed { t, node: "n".into(), gateway }
 }
 
 fn up(t: f64) -> Event {
-    Event::Up { t, node: "n".into(), block: 3, zone: "a".into(), cold: false }
+    Event::NodeStarted { t, node: "n".into(), block: 3, zone: "a".into(), cold: false }
 }
 
 fn down(t: f64) -> Event {
-    Event::Down { t, node: "n".into() }
+    Event::NodeStopped { t, node: "n".into() }
 }
 
 /// Probes every two seconds by one, and by another every two from `from` to `to`.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -354,7 +354,7 @@
     /// What the core is started with.
     pub core: Settings,
     /// What the rules are judged by.
-    pub book: rules::Book,
+    pub book: rules::Parameters,
     pub band_names: Vec<String>,
     /// Longest time that a caller of each band waits, seconds; and whether the band writes.
     pub outer: Vec<f64>,
@@ -452,12 +452,12 @@
             Repeat::Tagged => rules::Repeat::Tagged,
             Repeat::OnceOnly => rules::Repeat::OnceOnly,
         },
-        scope: match scope {
-            Scope::All => rules::Scope::All,
-            Scope::Zone => rules::Scope::Zone,
-            Scope::Cell => rules::Scope::Cell,
+        dedup_scope: match scope {
+            Scope::All => rules::DedupScope::All,
+            Scope::Zone => rules::DedupScope::Zone,
+            Scope::Cell => rules::DedupScope::Cell,
         },
-        window,
+        dedup_window: window,
         ordered,
     };
     Ok((core, judged))
@@ -661,17 +661,17 @@
         hold: 0.0,
         further,
     };
-    let book = rules::Book {
+    let book = rules::Parameters {
         bands: judged,
         limits,
         answer_slack: figures.answer_slack,
         drain_grace: figures.drain_grace,
-        overload_for: figures.overload_for,
-        key_quiet: figures.key_quiet,
-        most_shots: allow.shots,
-        copies: allow.copies,
-        further,
-        ask_within: asked.then_some(form.register.ask_within),
+        overload_window: figures.overload_for,
+        key_quiet_period: figures.key_quiet,
+        max_shots: allow.shots,
+        copies_allowed: allow.copies,
+        retry_budget: further,
+        poll_within: asked.then_some(form.register.ask_within),
         transit: 0.05,
     };
     Ok(Deployment {
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -17,7 +17,7 @@
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::status;
-use quaypath_record::{End, Event as Line, Writer};
+use quaypath_record::{Event as Line, TransactionEnd, Writer};
 use quaypath_rules::Repeat;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -250,7 +250,7 @@
         let key = u64::from(ask.volume) << 32 | u64::from(ask.key);
         let (gateway, volume, band, units) = (ask.gateway, ask.volume, ask.band, ask.units);
         let budget = ask.budget;
-        self.record.put(Line::Ask { t, gateway, mark, volume, band, units, key, budget });
+        self.record.put(Line::CommandSent { t, gateway, mark, volume, band, units, key, budget });
         self.tally.lock().unwrap().asked += 1;
         self.open.insert(mark, Waiting { ask: at, gateway, cid, tries, left: false });
         if let Some(leaves) = ask.leaves {
@@ -273,7 +273,7 @@
         let Some(waiting) = self.open.get_mut(&mark).filter(|waiting| !waiting.left) else { return };
         waiting.left = true;
         let (gateway, cid) = (waiting.gateway, waiting.cid);
-        self.record.put(Line::Left { t: self.record.clock.now(), mark });
+        self.record.put(Line::ClientCancelled { t: self.record.clock.now(), mark });
         if let Some(admin) = self.queues.get_mut(&(gateway, 0)) {
             if let Some((_, mut bytes)) = admin.machine.submit(Sqe::abort(1, cid), Vec::new(), 0) {
                 admin.output.add(&mut bytes);
@@ -308,17 +308,17 @@
             return;
         }
         let end = match code {
-            status::SUCCESS => End::Settled,
-            status::INTERRUPTED => End::Declined,
-            _ => End::Scrapped,
+            status::SUCCESS => TransactionEnd::Settled,
+            status::INTERRUPTED => TransactionEnd::Declined,
+            _ => TransactionEnd::Scrapped,
         };
-        self.record.put(Line::Final { t, gateway, mark, end });
+        self.record.put(Line::FinalAnswer { t, gateway, mark, end });
         self.tally.lock().unwrap().answered += 1;
         let band = self.options.plan[waiting.ask].band;
         let again = match end {
-            End::Settled => false,
-            End::Declined => true,
-            End::Scrapped => self.options.bands[band].repeat == Repeat::Repeatable,
+            TransactionEnd::Settled => false,
+            TransactionEnd::Declined => true,
+            TransactionEnd::Scrapped => self.options.bands[band].repeat == Repeat::Repeatable,
         };
         if again && !waiting.left {
             let wait = if cqe.dw0 > 0 { f64::from(cqe.dw0) / 1e3 } else { self.options.backoff };
@@ -336,7 +336,7 @@
             marks.sort_unstable();
             for mark in marks {
                 let Some(waiting) = self.open.remove(&mark) else { continue };
-                self.record.put(Line::Cut { t, gateway, mark });
+                self.record.put(Line::ClientConnectionLost { t, gateway, mark });
                 let band = self.options.plan[waiting.ask].band;
                 if self.options.bands[band].repeat == Repeat::Repeatable && !waiting.left {
                     self.try_again(mark >> 8, waiting.ask, waiting.tries, self.options.backoff);
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -247,7 +247,7 @@
         let t = ears.record.clock.now();
         for ((gateway, process), (datagrams, bytes, longest)) in std::mem::take(&mut *meters.borrow_mut()) {
             let seconds = t - last;
-            ears.record.put(Line::Talked { t, gateway, process, seconds, datagrams, bytes, longest });
+            ears.record.put(Line::MemberTraffic { t, gateway, process, seconds, datagrams, bytes, longest });
         }
         last = t;
     }
@@ -336,8 +336,8 @@
             news.map(|news| u32::from(news.member.0)).collect()
         };
         let (live, dead) = (those(&[Status::Alive, Status::Suspect]), those(&[Status::Dead]));
-        let life = message.life;
-        self.ears.record.put(Line::View { t, gateway, process, life, live, dead });
+        let incarnation = message.life;
+        self.ears.record.put(Line::MemberView { t, gateway, process, incarnation, live, dead });
     }
 }
 
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -21,7 +21,7 @@
 use quaypath_nvme::command::{opcode, Cqe, Sqe};
 use quaypath_nvme::controller::{Controller, Event};
 use quaypath_nvme::status;
-use quaypath_record::{Event as Line, Listed, Writer};
+use quaypath_record::{Event as Line, ListedCondition, Writer};
 use quaypath_settings::Mode;
 
 use crate::serve::{accept, gateway_of, read_all, Output, Running, Stream};
@@ -73,11 +73,11 @@
     _running: Running,
 }
 
-fn listed(condition: Condition) -> Listed {
+fn listed(condition: Condition) -> ListedCondition {
     match condition {
-        Condition::Ready => Listed::Ready,
-        Condition::Draining => Listed::Draining,
-        Condition::Gone => Listed::Gone,
+        Condition::Ready => ListedCondition::Ready,
+        Condition::Draining => ListedCondition::Draining,
+        Condition::Gone => ListedCondition::Removed,
     }
 }
 
@@ -134,7 +134,7 @@
         let entry = Entry { node: node.clone(), zone, block, condition, age, start };
         let at = book.changes.partition_point(|change| change.shows_at <= shows_at);
         book.changes.insert(at, Change { shows_at, entry, started_at, port });
-        self.record.put(Line::Lists { t: shows_at, node, condition: listed(condition) });
+        self.record.put(Line::ListChanged { t: shows_at, node, condition: listed(condition) });
     }
 
     pub fn fails(&self, fails: bool) {
@@ -310,14 +310,14 @@
         let gateway = connection.gateway;
         let before = std::mem::take(&mut connection.told);
         let tell = |node: &str, condition, listed_at| {
-            self.record.put(Line::Told { t, gateway, node: node.into(), condition, listed_at });
+            self.record.put(Line::ListEntrySent { t, gateway, node: node.into(), condition, listed_at });
         };
         for change in &face.shown {
             tell(&change.entry.node, listed(change.entry.condition), change.shows_at);
             connection.told.insert(change.entry.node.clone());
         }
         for node in before.difference(&connection.told) {
-            tell(node, Listed::Gone, t);
+            tell(node, ListedCondition::Removed, t);
         }
     }
 
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -19,7 +19,7 @@
 use quaypath_nvme::pdu::{DataPart, Format, Pdu};
 use quaypath_nvme::{status, BLOCK_SIZE};
 use quaypath_record::{Event as Line, ShotEnd, Writer};
-use quaypath_rules::{Band, Repeat, Scope};
+use quaypath_rules::{Band, DedupScope, Repeat};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -166,12 +166,12 @@
 impl BandRule {
     /// What a rule of the deployment means to the target that holds `block` in `zone`.
     pub fn of(band: &Band, zone: &str, block: i64) -> BandRule {
-        let group = match band.scope {
-            Scope::All => "all".to_string(),
-            Scope::Zone => zone.to_string(),
-            Scope::Cell => format!("cell-{block}"),
+        let group = match band.dedup_scope {
+            DedupScope::All => "all".to_string(),
+            DedupScope::Zone => zone.to_string(),
+            DedupScope::Cell => format!("cell-{block}"),
         };
-        BandRule { tagged: (band.repeat == Repeat::Tagged).then_some((group, band.window)) }
+        BandRule { tagged: (band.repeat == Repeat::Tagged).then_some((group, band.dedup_window)) }
     }
 }
 
@@ -213,7 +213,7 @@
         let node = listener.local_addr()?.to_string();
         let faults = Switch::<Faults>::default();
         let (zone, block, cold) = (options.zone.clone(), options.block, options.cold);
-        record.put(Line::Up { t: record.clock.now(), node: node.clone(), block, zone, cold });
+        record.put(Line::NodeStarted { t: record.clock.now(), node: node.clone(), block, zone, cold });
         let (switch, writer) = (faults.clone(), record.clone());
         let running = Running::start(&format!("target-{block}"), move |executor| {
             spawn(executor, options, listener, writer, switch);
@@ -224,7 +224,7 @@
     /// Ends it as a kill does: sockets closed at once, work in hand lost.
     pub fn kill(&mut self) {
         if self.running.take().is_some() {
-            self.record.put(Line::Down { t: self.record.clock.now(), node: self.node.clone() });
+            self.record.put(Line::NodeStopped { t: self.record.clock.now(), node: self.node.clone() });
         }
     }
 
@@ -425,7 +425,7 @@
         let (shot, units) = (u32::from(marks.shot), u32::from(marks.units.max(1)));
         let (node, mark, volume) = (self.name.clone(), marks.mark, sqe.nsid);
         let band = usize::from(marks.band.saturating_sub(1));
-        self.record.put(Line::Arrive { t: now, node, gateway, mark, shot, volume, units, band });
+        self.record.put(Line::ShotArrived { t: now, node, gateway, mark, shot, volume, units, band });
         let faults = self.faults.lock().unwrap().clone();
         if faults.errors > 0.0 && self.chance.random::<f64>() < faults.errors {
             self.ended(gateway, &marks, ShotEnd::Failed);
@@ -452,7 +452,7 @@
                 self.respond(number, cqe, &[]);
             }
             (Taken::Fell, _) => {
-                self.record.put(Line::Fell { t: now, node: self.name.clone() });
+                self.record.put(Line::NodeOverloaded { t: now, node: self.name.clone() });
                 let all: Vec<u64> = self.connections.keys().copied().collect();
                 all.into_iter().for_each(|number| self.close(number));
             }
@@ -463,14 +463,14 @@
     fn ended(&self, gateway: u32, marks: &Marks, end: ShotEnd) {
         let (t, node) = (self.now(), self.name.clone());
         let (mark, shot) = (marks.mark, u32::from(marks.shot));
-        self.record.put(Line::Ended { t, node, gateway, mark, shot, end });
+        self.record.put(Line::ShotEnded { t, node, gateway, mark, shot, end });
     }
 
     fn admin(&mut self, number: u64, sqe: &Sqe) {
         let now = self.now();
         if sqe.opcode == opcode::GET_LOG_PAGE {
             let gateway = self.connections.get(&number).map_or(0, |connection| connection.gateway);
-            self.record.put(Line::Probed { t: now, node: self.name.clone(), gateway });
+            self.record.put(Line::NodeProbed { t: now, node: self.name.clone(), gateway });
         }
         let view = Face { options: &self.options, name: &self.name };
         match self.associations.command(now, number, sqe, &view) {
@@ -585,9 +585,9 @@
             _ => status::SUCCESS,
         };
         self.record.put(if new {
-            Line::Ran { t: now, node, mark }
+            Line::EffectApplied { t: now, node, mark }
         } else {
-            Line::Dropped { t: now, node, mark }
+            Line::RepeatDropped { t: now, node, mark }
         });
         for ((other, volume), units) in &mut self.others {
             if *volume == sqe.nsid && *other != gateway {
