--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -575,7 +575,7 @@
 
     pub fn news(&mut self, news: &News) {
         let known = self.list.take(self.now, news);
-        self.keeper.write(self.list.bytes());
+        self.keeper.set_content(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
         self.events.push_back(Happened::List(ListScope::Whole, known));
     }
--- a/crates/load/benches/generator.rs
+++ b/crates/load/benches/generator.rs
@@ -114,7 +114,7 @@
         fleet: Arc::default(),
         spread: 0.0,
     };
-    Target::start(options, target::listener().unwrap(), Writer::none()).unwrap()
+    Target::start(options, target::listener().unwrap(), Writer::disabled()).unwrap()
 }
 
 /// One generator thread, three targets on threads of their own.
--- a/crates/programs/src/bin/register.rs
+++ b/crates/programs/src/bin/register.rs
@@ -74,7 +74,7 @@
 fn start(arguments: Arguments) -> Result<bool, String> {
     let record = match &arguments.record {
         Some(path) => Writer::file(path, Clock::default()).map_err(|error| error.to_string())?,
-        None => Writer::none(),
+        None => Writer::disabled(),
     };
     let listener =
         TcpListener::bind(arguments.listen).map_err(|error| format!("{}: {error}", arguments.listen))?;
--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -96,7 +96,7 @@
     let deployment = quaypath_settings::deployment(&arguments.settings).map_err(|error| error.to_string())?;
     let record = match &arguments.record {
         Some(path) => Writer::file(path, Clock::default()).map_err(|error| error.to_string())?,
-        None => Writer::none(),
+        None => Writer::disabled(),
     };
     let listener =
         TcpListener::bind(arguments.listen).map_err(|error| format!("{}: {error}", arguments.listen))?;
--- a/crates/record/src/background.rs
+++ b/crates/record/src/background.rs
@@ -1,5 +1,5 @@
-//! Files written by threads of their own, so that nothing that serves waits for a disk. A disk can stand still for
-//! seconds while others flush to it; what is to be written waits in a bounded place meanwhile.
+//! Files that background threads write, so that no thread that serves requests waits for a disk. A disk can stall for
+//! seconds while others flush to it; meanwhile, data to be written waits in bounded memory.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -7,19 +7,19 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A disk that stands still by script: days and tests hold it up without privileges. Every write and rename of this
-/// module, the log's and the record's passes through it.
-static STANDS_UNTIL: Mutex<Option<Instant>> = Mutex::new(None);
+/// End of a scripted stall of the disk. Test days and tests stall the disk this way without privileges: every write
+/// and rename of this module, of the log and of the record waits for it.
+static STALLED_UNTIL: Mutex<Option<Instant>> = Mutex::new(None);
 
-/// From now on this process's disk takes nothing for so long; nothing more after zero.
-pub fn stall_disk(lasts: Duration) {
-    *guard(&STANDS_UNTIL) = Some(Instant::now() + lasts);
+/// Stalls this process's disk for `duration` from now on; zero ends a stall.
+pub fn stall_disk(duration: Duration) {
+    *lock_ignoring_poison(&STALLED_UNTIL) = Some(Instant::now() + duration);
 }
 
-/// Waits for as long as the disk stands still.
+/// Blocks while the disk is stalled.
 pub fn wait_while_stalled() {
     loop {
-        let until = *guard(&STANDS_UNTIL);
+        let until = *lock_ignoring_poison(&STALLED_UNTIL);
         let now = Instant::now();
         match until.filter(|until| *until > now) {
             Some(until) => std::thread::sleep((until - now).min(Duration::from_millis(20))),
@@ -28,11 +28,12 @@
     }
 }
 
-fn guard<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
-    lock.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+/// Locks a mutex, also one that a panicking thread has poisoned.
+fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A writer whose every write passes the disk that may stand still.
+/// A writer whose every write and flush first waits while the disk is stalled.
 pub struct StallableWriter<W>(pub W);
 
 impl<W: Write> Write for StallableWriter<W> {
@@ -47,57 +48,64 @@
     }
 }
 
-/// Writes beside the file, makes it durable and renames it, so that a kill leaves the old content or the new one.
+/// Replaces a file's content: writes a temporary file next to it, syncs that to the disk and renames it over the file,
+/// so that a process killed midway leaves either the old content or the new content.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.with_extension("new");
+    let temporary = path.with_extension("new");
     wait_while_stalled();
-    let mut file = std::fs::File::create(&beside)?;
+    let mut file = std::fs::File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     wait_while_stalled();
-    std::fs::rename(&beside, path)
+    std::fs::rename(&temporary, path)
 }
 
-/// How long the last content may take to get to disk when its keeper goes.
-const LAST_WAIT: Duration = Duration::from_secs(2);
+/// Longest time that dropping a [`BackgroundFile`] waits for its last content to be written.
+const DROP_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// State shared with the writer thread.
 #[derive(Default)]
 struct Slot {
+    /// Content that waits to be written.
     next: Option<Vec<u8>>,
     writing: bool,
-    over: bool,
+    /// The owner was dropped: the thread ends once no content waits.
+    closed: bool,
     superseded: u64,
 }
 
-/// Keeps a file at the content given last. One content waits at most: a newer one takes its place. The latest is on
-/// disk as soon as the write before it is through, so within the time of two writes.
+/// Keeps a file at the content given last, written by a thread of its own. At most one content waits; a newer one
+/// replaces it. The latest content is on the disk as soon as the write before it has completed and its own after
+/// that, so within the time of two writes.
 pub struct BackgroundFile {
     slot: Arc<(Mutex<Slot>, Condvar)>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl BackgroundFile {
-    /// `failed` is told of each write that fails, on the keeper's thread.
-    pub fn start(path: PathBuf, failed: impl Fn(&Path, io::Error) + Send + 'static) -> BackgroundFile {
+    /// Starts the writer thread. It calls `on_error` for each write that fails.
+    pub fn start(path: PathBuf, on_error: impl Fn(&Path, io::Error) + Send + 'static) -> BackgroundFile {
         let slot = Arc::<(Mutex<Slot>, Condvar)>::default();
         let shared = slot.clone();
         let run = move || {
             let (slot, changed) = &*shared;
             loop {
-                let mut at = guard(slot);
+                let mut state = lock_ignoring_poison(slot);
                 let bytes = loop {
-                    match at.next.take() {
+                    match state.next.take() {
                         Some(bytes) => break bytes,
-                        None if at.over => return,
-                        None => at = changed.wait(at).unwrap_or_else(std::sync::PoisonError::into_inner),
+                        None if state.closed => return,
+                        None => {
+                            state = changed.wait(state).unwrap_or_else(std::sync::PoisonError::into_inner)
+                        }
                     }
                 };
-                at.writing = true;
-                drop(at);
+                state.writing = true;
+                drop(state);
                 if let Err(error) = replace(&path, &bytes) {
-                    failed(&path, error);
+                    on_error(&path, error);
                 }
-                guard(slot).writing = false;
+                lock_ignoring_poison(slot).writing = false;
                 changed.notify_all();
             }
         };
@@ -106,35 +114,35 @@
     }
 
     /// Gives the file new content; returns at once.
-    pub fn write(&self, bytes: Vec<u8>) {
+    pub fn set_content(&self, bytes: Vec<u8>) {
         let (slot, changed) = &*self.slot;
-        let mut at = guard(slot);
-        at.superseded += u64::from(at.next.replace(bytes).is_some());
+        let mut state = lock_ignoring_poison(slot);
+        state.superseded += u64::from(state.next.replace(bytes).is_some());
         changed.notify_all();
     }
 
-    /// Contents that a newer one took the place of before they were written.
+    /// Number of contents that a newer one replaced before they were written.
     pub fn superseded(&self) -> u64 {
-        guard(&self.slot.0).superseded
+        lock_ignoring_poison(&self.slot.0).superseded
     }
 
-    /// Waits until all is written, or so long; whether it is.
-    pub fn wait_until_written(&self, within: Duration) -> bool {
+    /// Waits until all content is written, for at most `timeout`; returns whether it is.
+    pub fn wait_until_written(&self, timeout: Duration) -> bool {
         let (slot, changed) = &*self.slot;
-        let busy = |at: &mut Slot| at.writing || at.next.is_some();
-        let waited = changed.wait_timeout_while(guard(slot), within, busy);
-        let (mut at, _) = waited.unwrap_or_else(std::sync::PoisonError::into_inner);
-        !busy(&mut at)
+        let busy = |state: &mut Slot| state.writing || state.next.is_some();
+        let waited = changed.wait_timeout_while(lock_ignoring_poison(slot), timeout, busy);
+        let (mut state, _) = waited.unwrap_or_else(std::sync::PoisonError::into_inner);
+        !busy(&mut state)
     }
 }
 
 impl Drop for BackgroundFile {
     fn drop(&mut self) {
-        let settled = self.wait_until_written(LAST_WAIT);
-        guard(&self.slot.0).over = true;
+        let written = self.wait_until_written(DROP_TIMEOUT);
+        lock_ignoring_poison(&self.slot.0).closed = true;
         self.slot.1.notify_all();
-        // A disk that still stands keeps its thread, and nobody waits for it.
-        if let Some(thread) = self.thread.take().filter(|_| settled) {
+        // While the disk is still stalled the thread is left running and not joined.
+        if let Some(thread) = self.thread.take().filter(|_| written) {
             let _ = thread.join();
         }
     }
@@ -145,26 +153,26 @@
     use super::*;
     use crate::{Clock, Event, Writer};
 
-    /// Keeping and recording must not wait for a disk that stands still: were they to, this test would hang until the
-    /// disk goes on, and what it counts before that would not be so.
+    /// Guards against a stalled disk blocking the threads that replace a file or write events: if it did, this test
+    /// would hang during the scripted stall, and the counts before its end would be wrong.
     #[test]
-    fn a_disk_that_stands_still_holds_nobody_up_and_gets_the_last_content_whole() {
+    fn a_stalled_disk_blocks_no_caller_and_receives_the_last_content_whole() {
         let folder = std::env::temp_dir().join(format!("quaypath-apart-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (list, record) = (folder.join("nodes.list"), folder.join("record.jsonl"));
-        let keeper = BackgroundFile::start(list.clone(), |_, error| panic!("{error}"));
+        let background_file = BackgroundFile::start(list.clone(), |_, error| panic!("{error}"));
         let writer = Writer::file(&record, Clock::default()).unwrap();
-        keeper.write(b"first".to_vec());
-        assert!(keeper.wait_until_written(Duration::from_secs(60)));
+        background_file.set_content(b"first".to_vec());
+        assert!(background_file.wait_until_written(Duration::from_secs(60)));
         stall_disk(Duration::from_secs(3600));
-        for nth in 0..1000 {
-            keeper.write(format!("content {nth}").into_bytes());
-            writer.put(Event::NodeStopped { t: f64::from(nth), node: "n".into() });
+        for number in 0..1000 {
+            background_file.set_content(format!("content {number}").into_bytes());
+            writer.put(Event::NodeStopped { t: f64::from(number), node: "n".into() });
         }
-        assert!(keeper.superseded() >= 998);
-        assert_eq!(std::fs::read(&list).unwrap(), b"first", "nothing passes while it stands");
+        assert!(background_file.superseded() >= 998);
+        assert_eq!(std::fs::read(&list).unwrap(), b"first", "nothing is written during the stall");
         stall_disk(Duration::ZERO);
-        assert!(keeper.wait_until_written(Duration::from_secs(60)));
+        assert!(background_file.wait_until_written(Duration::from_secs(60)));
         writer.flush().unwrap();
         assert_eq!(std::fs::read(&list).unwrap(), b"content 999");
         assert_eq!(crate::read(&[record]).unwrap().len(), 1000);
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,8 +1,8 @@
-//! What crossed the sockets, as clients, targets, the register and the day's runner saw it: one JSON object a
-//! line. Nothing in it comes from an initiator's own books.
+//! Record of what crossed the sockets, as observed by clients, storage nodes, the node register and the runner of
+//! a test day: one JSON object per line. It contains nothing from an initiator's own counters.
 //!
 //! Times are seconds on the clock of [`Clock`], which all writers on one machine share to within microseconds.
-//! Each time is taken when the bytes were read or written, so it carries that program's own delay.
+//! Each time is taken when the bytes were read or written, so it includes the delay of the recording program.
 
 pub mod background;
 
@@ -26,23 +26,24 @@
     Scrapped,
 }
 
-/// How a shot ended at its target.
+/// How a shot ended at its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ShotEnd {
     Answered,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; the command may have run.
     Failed,
-    /// Turned away unseen.
+    /// Rejected before the command was looked at; it did not run.
     Refused,
-    /// The initiator called it off.
+    /// The initiator cancelled it.
     Aborted,
     /// The connection ended first.
     Broken,
-    /// The answer was made and lost on purpose, by a scripted fault.
+    /// A scripted fault discarded the answer after it was made.
     Lost,
 }
 
+/// State in which the node register lists a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedCondition {
@@ -52,11 +53,16 @@
     Removed,
 }
 
-/// One line. `mark` names a transaction: the client's operation times 256, plus the number of the client's try.
+/// One line of the record.
+///
+/// Fields that several events share: `t` is the time in seconds, `gateway` the number of an initiator, `node` the
+/// address of a node, and `mark` identifies a transaction: the number of the client's operation times 256, plus
+/// the number of the client's try.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "e", rename_all = "lowercase")]
 pub enum Event {
-    /// A client wrote a command to a gateway. `budget`: how long it waits, seconds.
+    /// A client wrote a command to a gateway. `band` is an index into the deployment's bands; `key` is the ordering
+    /// key, 0 for none; `budget` is how long the client waits, in seconds.
     #[serde(rename = "ask")]
     CommandSent {
         t: f64,
@@ -68,16 +74,16 @@
         key: u64,
         budget: f64,
     },
-    /// Its final answer was read.
+    /// The client read the final answer to its command.
     #[serde(rename = "final")]
     FinalAnswer { t: f64, gateway: u32, mark: u64, end: TransactionEnd },
-    /// The client stopped waiting and said so (abort or disconnect).
+    /// The client stopped waiting and told the gateway so, with an abort or by disconnecting.
     #[serde(rename = "left")]
     ClientCancelled { t: f64, mark: u64 },
     /// The connection to the gateway ended while the client waited.
     #[serde(rename = "cut")]
     ClientConnectionLost { t: f64, gateway: u32, mark: u64 },
-    /// A target read a whole command.
+    /// A node read a whole command. `shot` is the number of the shot.
     #[serde(rename = "arrive")]
     ShotArrived {
         t: f64,
@@ -89,44 +95,48 @@
         units: u32,
         band: usize,
     },
-    /// The command's effect took place.
+    /// The command took effect.
     #[serde(rename = "ran")]
     EffectApplied { t: f64, node: String, mark: u64 },
-    /// A tagged repeat was recognised; its effect did not take place again.
+    /// The node recognised a repeat of a tagged command, which did not take effect again.
     #[serde(rename = "dropped")]
     RepeatDropped { t: f64, node: String, mark: u64 },
-    /// The target is done with a shot.
+    /// The node has finished with a shot.
     #[serde(rename = "ended")]
     ShotEnded { t: f64, node: String, gateway: u32, mark: u64, shot: u32, end: ShotEnd },
-    /// A target came up; `cold` where at part of its capacity.
+    /// A node's process started; `cold` if it starts at part of its capacity.
     #[serde(rename = "up")]
     NodeStarted { t: f64, node: String, block: i64, zone: String, cold: bool },
+    /// A node's process stopped.
     #[serde(rename = "down")]
     NodeStopped { t: f64, node: String },
-    /// A cold target was pushed over.
+    /// A cold node failed under more load than it could take.
     #[serde(rename = "fell")]
     NodeOverloaded { t: f64, node: String },
-    /// The register wrote this to a gateway. `listed_at`: when its list held it.
+    /// The register wrote an entry of its list to a gateway. `listed_at` is the time from which the list holds this
+    /// entry, in seconds.
     #[serde(rename = "told")]
     ListEntrySent { t: f64, gateway: u32, node: String, condition: ListedCondition, listed_at: f64 },
-    /// The register's own list changed.
+    /// An entry of the register's own list changes at `t`.
     #[serde(rename = "lists")]
     ListChanged { t: f64, node: String, condition: ListedCondition },
-    /// A gateway process started, with nothing but its last list.
+    /// A gateway process started; all it has from earlier runs is its last node list.
     #[serde(rename = "started")]
     GatewayStarted { t: f64, gateway: u32 },
+    /// A gateway process was killed.
     #[serde(rename = "killed")]
     GatewayKilled { t: f64, gateway: u32 },
-    /// A scripted fault began or ended.
+    /// A scripted fault began (`begins`) or ended. `on` is a node's address, a gateway's number or `register`.
     Fault { t: f64, kind: String, on: String, begins: bool },
-    /// A scripted fault of links began or ended; the gateways at both ends, nodes and register left out.
+    /// A scripted fault of the links between gateways began (`begins`) or ended. `from` and `to` are the gateways at
+    /// both ends; nodes and the register are left out. `size` depends on the kind: a part lost, or seconds of delay.
     #[serde(rename = "link")]
     LinkFault { t: f64, kind: String, from: Vec<u32>, to: Vec<u32>, size: f64, begins: bool },
-    /// A target was asked by a gateway how it does.
+    /// A gateway probed the health of a node.
     #[serde(rename = "probed")]
     NodeProbed { t: f64, node: String, gateway: u32 },
-    /// A datagram on its way from a member of the fleet told what it holds of others. `process` tells two of one
-    /// number apart.
+    /// A datagram from a member of the fleet carried its view of other members: those it holds to be live and dead.
+    /// `process` distinguishes two processes that run under one gateway number.
     #[serde(rename = "view")]
     MemberView {
         t: f64,
@@ -137,7 +147,8 @@
         live: Vec<u32>,
         dead: Vec<u32>,
     },
-    /// What one process sent to others of the fleet since the last such line of it, a second ago or more.
+    /// Traffic that one process sent to other members of the fleet since the previous event of this kind for it,
+    /// `seconds` ago, which is at least one second. `longest` is its longest datagram, in bytes.
     #[serde(rename = "talked")]
     MemberTraffic {
         t: f64,
@@ -151,6 +162,7 @@
 }
 
 impl Event {
+    /// Time of the event, seconds on the clock of [`Clock`].
     pub fn time(&self) -> f64 {
         match self {
             Event::CommandSent { t, .. }
@@ -177,8 +189,8 @@
     }
 }
 
-/// Seconds since the epoch, stepping with the monotonic clock from one reading of the system's: two programs
-/// agree, and none jumps when the system's clock is set.
+/// Seconds since the epoch: the system clock is read once, and the monotonic clock counts from there. The clocks of
+/// two programs agree, and none jumps when the system clock is set.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: f64,
@@ -193,26 +205,29 @@
 }
 
 impl Clock {
+    /// Current time, seconds since the epoch.
     pub fn now(&self) -> f64 {
         self.base + self.start.elapsed().as_secs_f64()
     }
 }
 
+/// Fault in writing or reading a record.
 #[derive(Debug, Error)]
 pub enum Error {
     #[error("{path}: {source}")]
     Io { path: PathBuf, source: std::io::Error },
-    #[error("{path}: {lost} events were lost: more than {MOST_WAITING} waited for the disk")]
+    #[error("{path}: {lost} events were dropped: the queue to the disk holds at most {MAX_QUEUED_EVENTS}")]
     Lost { path: PathBuf, lost: u64 },
-    #[error("{path}, line {line}: not an event of the record: {what}")]
-    Line { path: PathBuf, line: usize, what: String },
+    #[error("{path}, line {line}: not an event of the record: {reason}")]
+    Line { path: PathBuf, line: usize, reason: String },
 }
 
-/// Events that wait for the disk at most; beyond them lines are lost, counted and told by [`Writer::flush`].
-const MOST_WAITING: usize = 1 << 18;
+/// Maximum number of events that wait for the disk. Further events are dropped and counted, and [`Writer::flush`]
+/// reports them.
+const MAX_QUEUED_EVENTS: usize = 1 << 18;
 
-/// Writes events; shared by the threads of one program, none of which waits for a disk: a file is written by a thread
-/// of its own. Without a file events are kept in memory.
+/// Writes events. The threads of one program share it, and none of them waits for a disk: a separate thread writes
+/// the file. Without a file, events are kept in memory or discarded.
 #[derive(Clone)]
 pub struct Writer {
     pub clock: Clock,
@@ -222,61 +237,64 @@
 enum Sink {
     None,
     Memory(Mutex<Vec<Event>>),
-    File { path: PathBuf, queue: SyncSender<Note>, lost: AtomicU64 },
+    File { path: PathBuf, queue: SyncSender<Message>, lost: AtomicU64 },
 }
 
-/// What the writing thread is given.
-enum Note {
+/// Message to the writer thread.
+enum Message {
     Event(Event),
-    /// Answered when all before it is on its way to the disk.
+    /// Requests a flush; the reply follows once everything queued before it has been handed to the operating system.
     Flush(mpsc::Sender<std::io::Result<()>>),
 }
 
-/// Writes what comes until nobody is left to send; the first failure is told at the next flush.
-fn write_out(mut file: BufWriter<background::StallableWriter<File>>, queue: &Receiver<Note>) {
-    let mut failed = None;
-    for note in queue {
-        match note {
-            Note::Event(event) => {
-                let done = serde_json::to_writer(&mut file, &event).map_err(std::io::Error::from);
-                if let Err(error) = done.and_then(|()| file.write_all(b"\n")) {
-                    failed.get_or_insert(error);
+/// Writes queued events until all senders are dropped. The first failure is reported at the next flush.
+fn run_writer(mut file: BufWriter<background::StallableWriter<File>>, queue: &Receiver<Message>) {
+    let mut first_error = None;
+    for message in queue {
+        match message {
+            Message::Event(event) => {
+                let written = serde_json::to_writer(&mut file, &event).map_err(std::io::Error::from);
+                if let Err(error) = written.and_then(|()| file.write_all(b"\n")) {
+                    first_error.get_or_insert(error);
                 }
             }
-            Note::Flush(answer) => {
-                let _ = answer.send(failed.take().map_or_else(|| file.flush(), Err));
+            Message::Flush(reply) => {
+                let _ = reply.send(first_error.take().map_or_else(|| file.flush(), Err));
             }
         }
     }
 }
 
 impl Writer {
-    /// Keeps nothing.
-    pub fn none() -> Self {
+    /// Discards all events.
+    pub fn disabled() -> Self {
         Writer { clock: Clock::default(), sink: Arc::new(Sink::None) }
     }
 
+    /// Keeps events in memory until [`Writer::take_events`].
     pub fn memory(clock: Clock) -> Self {
         Writer { clock, sink: Arc::new(Sink::Memory(Mutex::default())) }
     }
 
+    /// Creates the file, replacing an existing one, and starts the thread that writes it.
     pub fn file(path: &Path, clock: Clock) -> Result<Self, Error> {
         let io = |source| Error::Io { path: path.into(), source };
         let file = BufWriter::new(background::StallableWriter(File::create(path).map_err(io)?));
-        let (queue, notes) = mpsc::sync_channel(MOST_WAITING);
+        let (queue, messages) = mpsc::sync_channel(MAX_QUEUED_EVENTS);
         let thread = std::thread::Builder::new().name("record".into());
-        thread.spawn(move || write_out(file, &notes)).map_err(io)?;
+        thread.spawn(move || run_writer(file, &messages)).map_err(io)?;
         let sink = Sink::File { path: path.into(), queue, lost: AtomicU64::new(0) };
         Ok(Writer { clock, sink: Arc::new(sink) })
     }
 
+    /// Adds an event without waiting; an event that finds the queue to the disk full is dropped and counted.
     pub fn put(&self, event: Event) {
         match &*self.sink {
             Sink::None => {}
             Sink::Memory(events) => events.lock().unwrap().push(event),
             Sink::File { queue, lost, .. } => {
                 if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
-                    queue.try_send(Note::Event(event))
+                    queue.try_send(Message::Event(event))
                 {
                     lost.fetch_add(1, Ordering::Relaxed);
                 }
@@ -284,8 +302,8 @@
         }
     }
 
-    /// What memory holds, in order of time; empty for a file.
-    pub fn taken(&self) -> Vec<Event> {
+    /// Removes the events kept in memory and returns them in order of time; empty for a file.
+    pub fn take_events(&self) -> Vec<Event> {
         let mut events = match &*self.sink {
             Sink::Memory(events) => std::mem::take(&mut *events.lock().unwrap()),
             Sink::None | Sink::File { .. } => Vec::new(),
@@ -294,14 +312,15 @@
         events
     }
 
-    /// Waits until all that was put is written, and tells if any line was lost. Not for a thread that serves.
+    /// Waits until all events so far are written; an error if any was dropped. It blocks, so it must not be called on
+    /// a thread that serves requests.
     pub fn flush(&self) -> Result<(), Error> {
         let Sink::File { path, queue, lost } = &*self.sink else { return Ok(()) };
-        let (answer, answered) = mpsc::channel();
-        let gone = || std::io::Error::other("the writing thread ended");
-        let sent = queue.send(Note::Flush(answer)).map_err(|_| gone());
-        let done = sent.and_then(|()| answered.recv().map_err(|_| gone())?);
-        done.map_err(|source| Error::Io { path: path.clone(), source })?;
+        let (reply, replied) = mpsc::channel();
+        let thread_ended = || std::io::Error::other("the writer thread has ended");
+        let sent = queue.send(Message::Flush(reply)).map_err(|_| thread_ended());
+        let flushed = sent.and_then(|()| replied.recv().map_err(|_| thread_ended())?);
+        flushed.map_err(|source| Error::Io { path: path.clone(), source })?;
         match lost.load(Ordering::Relaxed) {
             0 => Ok(()),
             lost => Err(Error::Lost { path: path.clone(), lost }),
@@ -310,42 +329,45 @@
 }
 
 fn sort(events: &mut [Event]) {
-    events.sort_by(|one, other| one.time().total_cmp(&other.time()));
+    events.sort_by(|left, right| left.time().total_cmp(&right.time()));
 }
 
-/// Longest line of a record that is read, bytes; far above any event's.
-const LONGEST: u64 = 64 << 10;
+/// Maximum length of a line that is read, bytes; far above that of any event.
+const MAX_LINE_BYTES: u64 = 64 << 10;
 
-/// One file's events, line by line, in the order written. A torn last line, as a killed writer leaves it, is skipped.
+/// Iterates over the events of one file in the order written. An incomplete last line, as a killed writer leaves it,
+/// is skipped.
 pub struct RecordReader {
     path: PathBuf,
     input: BufReader<File>,
     text: Vec<u8>,
+    /// Number of the current line, from 1.
     line: usize,
 }
 
 impl RecordReader {
+    /// Opens a record file at its first line.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let file = File::open(path).map_err(|source| Error::Io { path: path.into(), source })?;
         Ok(RecordReader { path: path.into(), input: BufReader::new(file), text: Vec::new(), line: 0 })
     }
 
-    /// The next event; nothing at the end.
-    fn step(&mut self) -> Result<Option<Event>, Error> {
+    /// Returns the next event, or `None` at the end of the file.
+    fn next_event(&mut self) -> Result<Option<Event>, Error> {
         self.text.clear();
         self.line += 1;
-        let mut bounded = (&mut self.input).take(LONGEST);
+        let mut bounded = (&mut self.input).take(MAX_LINE_BYTES);
         let count = bounded.read_until(b'\n', &mut self.text);
         let count = count.map_err(|source| Error::Io { path: self.path.clone(), source })?;
         if count == 0 {
             return Ok(None);
         }
-        let torn = !self.text.ends_with(b"\n") && (count as u64) < LONGEST;
+        let incomplete = !self.text.ends_with(b"\n") && (count as u64) < MAX_LINE_BYTES;
         match serde_json::from_slice(&self.text) {
             Ok(event) => Ok(Some(event)),
-            Err(_) if torn => Ok(None),
+            Err(_) if incomplete => Ok(None),
             Err(error) => {
-                Err(Error::Line { path: self.path.clone(), line: self.line, what: error.to_string() })
+                Err(Error::Line { path: self.path.clone(), line: self.line, reason: error.to_string() })
             }
         }
     }
@@ -355,11 +377,11 @@
     type Item = Result<Event, Error>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        self.step().transpose()
+        self.next_event().transpose()
     }
 }
 
-/// Reads one or more files into one order of time.
+/// Reads one or more files and returns their events merged in order of time.
 pub fn read(paths: &[PathBuf]) -> Result<Vec<Event>, Error> {
     let mut events = Vec::new();
     for path in paths {
