--- a/crates/initiator/benches/wheel.rs
+++ b/crates/initiator/benches/wheel.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::timer_wheel::TimerWheel;
 
 /// Distances like the gateway's: due times and outer limits from 10 ms to 5 s.
 fn distance(at: u64) -> f64 {
@@ -19,13 +19,13 @@
         let step = 2.5 / held as f64;
         group.bench_with_input(BenchmarkId::new("wheel", held), &held, |bencher, held| {
             let (mut now, mut at, mut rung) = (0.0, 0, Vec::new());
-            let mut wheel = Wheel::new(now);
+            let mut wheel = TimerWheel::new(now);
             (0..*held).for_each(|at| wheel.set(distance(at), at));
             bencher.iter(|| {
                 (now, at) = (now + step, at + 1);
                 wheel.set(now + distance(at), at);
                 rung.clear();
-                wheel.ring(now, &mut rung);
+                wheel.advance(now, &mut rung);
                 rung.len()
             });
         });
--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -7,7 +7,7 @@
 use quaypath_settings::Deployment;
 use tracing::info;
 
-use crate::list::{Call, Known};
+use crate::node_list::{ListedNode, RegisterCall};
 
 /// What the core asked for in one call; and what it saw of nodes, where somebody wants to know.
 #[derive(Default)]
@@ -19,9 +19,9 @@
     Decline(u64, f64),
     Scrap(u64),
     Timer(f64, u64),
-    Call(Call),
+    RegisterCall(RegisterCall),
     Close(NodeId),
-    Unused(&'static str),
+    Unsupported(&'static str),
 }
 
 impl Outbox for Actions {
@@ -41,19 +41,19 @@
         self.0.push_back(Action::Timer(after, tag));
     }
     fn subscribe(&mut self, on: bool) {
-        self.0.push_back(Action::Call(Call::Watch { on }));
+        self.0.push_back(Action::RegisterCall(RegisterCall::Watch { on }));
     }
     fn fetch_list(&mut self) {
-        self.0.push_back(Action::Call(Call::Fetch));
+        self.0.push_back(Action::RegisterCall(RegisterCall::Fetch));
     }
     fn probe(&mut self, _node: &NodeId) {
-        self.0.push_back(Action::Unused("probe"));
+        self.0.push_back(Action::Unsupported("probe"));
     }
     fn close(&mut self, node: &NodeId) {
         self.0.push_back(Action::Close(node.clone()));
     }
     fn tell(&mut self, _initiator: Option<u64>, _payload: &[u8]) {
-        self.0.push_back(Action::Unused("tell"));
+        self.0.push_back(Action::Unsupported("tell"));
     }
     fn seen(&mut self, block: BlockId, stay: f64) {
         self.1.iter_mut().for_each(|seen| seen.push((block, stay)));
@@ -65,7 +65,7 @@
 
 /// The events of the core, one method each; shapes and units are those of [`Brain`].
 pub trait Core {
-    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[Known], out: &mut Actions);
+    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[ListedNode], out: &mut Actions);
     #[allow(clippy::too_many_arguments)] // events come as plain arguments, as in the core
     fn taken(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
@@ -92,20 +92,20 @@
 }
 
 /// Makes what decides: clock time, seed, deployment, and where its first actions go.
-pub type Make = fn(f64, u64, &Deployment, &mut Actions) -> Box<dyn Core>;
+pub type CoreFactory = fn(f64, u64, &Deployment, &mut Actions) -> Box<dyn Core>;
 
 /// The decision core.
-pub fn brain(now: f64, seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
-    of_settings(now, seed, deployment.core.clone(), out)
+pub fn scheduler(now: f64, seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
+    scheduler_with_settings(now, seed, deployment.core.clone(), out)
 }
 
 /// The decision core where its settings come from elsewhere than a deployment file.
-pub fn of_settings(now: f64, seed: u64, settings: Settings, out: &mut Actions) -> Box<dyn Core> {
+pub fn scheduler_with_settings(now: f64, seed: u64, settings: Settings, out: &mut Actions) -> Box<dyn Core> {
     Box::new(Brain::start(now, seed, settings, out))
 }
 
 impl Core for Brain {
-    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[Known], out: &mut Actions) {
+    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[ListedNode], out: &mut Actions) {
         Brain::list_known(self, now, scope, entries, out);
     }
     fn taken(
@@ -140,7 +140,7 @@
 
 /// A plain gateway: sends at once to whatever node was last heard of for the data, and tries everything again
 /// whatever became of it. Only there to be measured against; it keeps none of the rules on purpose.
-struct Careless {
+struct Baseline {
     nodes: BTreeMap<BlockId, NodeId>,
     most_shots: u32,
     due: Vec<f64>,
@@ -148,12 +148,12 @@
     open: BTreeMap<TransactionId, (BlockId, usize, u32)>,
 }
 
-pub fn careless(_now: f64, _seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
+pub fn baseline(_now: f64, _seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
     let set = &deployment.core;
     if set.must_ask {
         out.subscribe(true);
     }
-    Box::new(Careless {
+    Box::new(Baseline {
         nodes: BTreeMap::new(),
         most_shots: set.most_shots,
         due: set.bands.iter().map(|band| band.due).collect(),
@@ -162,7 +162,7 @@
     })
 }
 
-impl Careless {
+impl Baseline {
     fn shot(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
         let Some((block, band, shots)) = self.open.get_mut(&id) else { return };
         let node = self.nodes.get(block).filter(|_| *shots < self.most_shots);
@@ -179,8 +179,8 @@
     }
 }
 
-impl Core for Careless {
-    fn list_known(&mut self, _now: f64, scope: ListScope, entries: &[Known], out: &mut Actions) {
+impl Core for Baseline {
+    fn list_known(&mut self, _now: f64, scope: ListScope, entries: &[ListedNode], out: &mut Actions) {
         if scope == ListScope::Failed && self.must_ask {
             out.set_timer(1.0, 0);
         }
--- a/crates/initiator/src/turns.rs
+++ b/crates/initiator/src/event_loop.rs
@@ -21,7 +21,7 @@
 use crate::polls::yield_if_spent;
 
 /// Most that is read at once.
-pub const READ: usize = 256 << 10;
+pub const MAX_READ_BYTES: usize = 256 << 10;
 
 /// Wakes one waiting task of the same thread; a word said before the wait is not lost.
 #[derive(Default)]
@@ -31,7 +31,7 @@
 }
 
 impl Notify {
-    pub fn tell(&self) {
+    pub fn notify(&self) {
         self.told.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
@@ -39,7 +39,7 @@
     }
 
     /// Takes back a word that nobody has heard yet.
-    pub fn forget(&self) {
+    pub fn clear(&self) {
         self.told.set(false);
     }
 
@@ -56,7 +56,7 @@
 }
 
 /// What is not done within so many seconds has timed out.
-pub async fn within<R>(seconds: f64, done: impl Future<Output = io::Result<R>>) -> io::Result<R> {
+pub async fn with_timeout<R>(seconds: f64, done: impl Future<Output = io::Result<R>>) -> io::Result<R> {
     let late = async {
         Timer::after(Duration::from_secs_f64(seconds)).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -65,7 +65,7 @@
 }
 
 /// An instance that works by turns: NVMe/TCP's here, and any other way in and out on the same core.
-pub trait Turns {
+pub trait Driver {
     /// Reads the clock.
     fn begin_turn(&mut self);
     /// Feeds the core all that happened and carries out what it asks for.
@@ -74,26 +74,26 @@
     fn clock_now(&self) -> f64;
     fn next_timer(&self) -> Option<f64>;
     /// Told when the next timer has changed.
-    fn wake(&self) -> Rc<Notify>;
+    fn timer_changed(&self) -> Rc<Notify>;
     /// Takes note of all timers that are due.
-    fn ring(&mut self);
+    fn fire_timers(&mut self);
 }
 
 /// One turn: clock, what happened, core, output.
-pub fn turn<T: Turns, R>(instance: &Rc<RefCell<T>>, act: impl FnOnce(&mut T) -> R) -> R {
+pub fn run_turn<T: Driver, R>(instance: &Rc<RefCell<T>>, act: impl FnOnce(&mut T) -> R) -> R {
     let mut this = instance.borrow_mut();
     let before = this.next_timer();
     this.begin_turn();
     let result = act(&mut this);
     this.finish_turn();
     if this.next_timer() != before {
-        this.wake().tell();
+        this.timer_changed().notify();
     }
     result
 }
 
 /// The next connection of a listener.
-pub async fn accepted(listener: &Async<TcpListener>) -> (Rc<Async<TcpStream>>, SocketAddr) {
+pub async fn accept_next(listener: &Async<TcpListener>) -> (Rc<Async<TcpStream>>, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -111,11 +111,11 @@
 
 thread_local! {
     /// One read buffer for all connections of the thread: it is only used within one poll.
-    static BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ]);
+    static BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_READ_BYTES]);
 }
 
 /// What a read brought.
-pub enum Came<R> {
+pub enum Received<R> {
     /// What was made of the bytes.
     Bytes(R),
     /// The peer sends no more.
@@ -123,12 +123,12 @@
 }
 
 /// Hands what is there, `most` bytes of it, to `take`, without waiting; none where nothing is.
-pub fn read_now<R>(
+pub fn try_read<R>(
     mut stream: &TcpStream, most: usize, take: impl FnOnce(&[u8]) -> R,
-) -> io::Result<Option<Came<R>>> {
-    BUFFER.with_borrow_mut(|buffer| match stream.read(&mut buffer[..most.min(READ)]) {
-        Ok(0) => Ok(Some(Came::End)),
-        Ok(count) => Ok(Some(Came::Bytes(take(&buffer[..count])))),
+) -> io::Result<Option<Received<R>>> {
+    BUFFER.with_borrow_mut(|buffer| match stream.read(&mut buffer[..most.min(MAX_READ_BYTES)]) {
+        Ok(0) => Ok(Some(Received::End)),
+        Ok(count) => Ok(Some(Received::Bytes(take(&buffer[..count])))),
         Err(error) => match error.kind() {
             io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted => Ok(None),
             _ => Err(error),
@@ -137,7 +137,7 @@
 }
 
 /// Bytes that have come on a connection by now and were not read yet.
-pub fn unread(stream: &TcpStream) -> io::Result<usize> {
+pub fn unread_bytes(stream: &TcpStream) -> io::Result<usize> {
     let count = rustix::io::ioctl_fionread(stream)?;
     Ok(usize::try_from(count).unwrap_or(usize::MAX))
 }
@@ -146,10 +146,10 @@
 /// whoever reads on would not be looked at either: so each read first sees whether the poll has used up its time.
 pub async fn read_some<R>(
     stream: &Async<TcpStream>, most: usize, mut take: impl FnMut(&[u8]) -> R,
-) -> io::Result<Came<R>> {
+) -> io::Result<Received<R>> {
     loop {
         yield_if_spent().await;
-        match read_now(stream.get_ref(), most, &mut take)? {
+        match try_read(stream.get_ref(), most, &mut take)? {
             Some(came) => return Ok(came),
             None => stream.readable().await?,
         }
@@ -162,13 +162,13 @@
 const ANOTHER_LOOK: Duration = Duration::from_micros(300);
 
 /// Rings the timers of an instance for as long as it lives.
-pub async fn timers<T: Turns>(instance: Weak<RefCell<T>>) {
+pub async fn run_timers<T: Driver>(instance: Weak<RefCell<T>>) {
     loop {
         let (due, wait, wake) = {
             let Some(this) = instance.upgrade() else { return };
             let this = this.borrow();
             let (due, now) = (this.next_timer(), this.clock_now());
-            (due, due.map(|at| Duration::from_secs_f64((at - now).clamp(0.0, 3600.0))), this.wake())
+            (due, due.map(|at| Duration::from_secs_f64((at - now).clamp(0.0, 3600.0))), this.timer_changed())
         };
         match wait {
             Some(wait) if wait.is_zero() => {}
@@ -196,6 +196,6 @@
         yield_now().await;
         yield_now().await;
         let Some(this) = instance.upgrade() else { return };
-        turn(&this, T::ring);
+        run_turn(&this, T::fire_timers);
     }
 }
--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -31,10 +31,10 @@
 use quaypath_record::Clock;
 use tracing::{debug, info, warn};
 
+use crate::event_loop::{run_turn, with_timeout, Notify};
 use crate::instance::Instance;
 use crate::polls::{spawn, Peer, TaskKind};
-use crate::queue::{ask, open_admin, Queue};
-use crate::turns::{turn, within, Notify};
+use crate::queue::{open_admin_queue, submit_and_wait, Queue};
 
 /// Datagrams read before others have a turn.
 const BATCH: usize = 32;
@@ -45,7 +45,7 @@
 
 /// A clock that can be made to run wrong while it is used, by days.
 #[derive(Clone, Default)]
-pub struct Skew(Arc<Mutex<Option<Rated>>>);
+pub struct SkewedClock(Arc<Mutex<Option<Rated>>>);
 
 /// From the true time `since`, shown as `shown`, on at this rate.
 #[derive(Clone, Copy)]
@@ -57,24 +57,24 @@
     steps: f64,
 }
 
-impl Skew {
+impl SkewedClock {
     /// What this clock shows at a true time, seconds; and its rate.
-    fn shows(&self, now: f64) -> (f64, f64) {
+    fn wall_clock(&self, now: f64) -> (f64, f64) {
         let rated = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         rated.map_or((now, 1.0), |rated| (rated.shown + (now - rated.since) * rated.rate, rated.rate))
     }
 
     /// From now on it runs at this rate, after a step forward of so many seconds.
     pub fn set(&self, now: f64, rate: f64, step: f64) {
-        let shown = self.shows(now).0 + step.max(0.0);
-        let steps = shown - self.rated(now);
+        let shown = self.wall_clock(now).0 + step.max(0.0);
+        let steps = shown - self.monotonic(now);
         let rate = rate.clamp(0.1, 10.0);
         *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) =
             Some(Rated { since: now, shown, rate, steps });
     }
 
-    /// As [`Skew::shows`], without its steps: those are of the wall clock.
-    pub fn rated(&self, now: f64) -> f64 {
+    /// As [`SkewedClock::wall_clock`], without its steps: those are of the wall clock.
+    pub fn monotonic(&self, now: f64) -> f64 {
         let rated = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         rated.map_or(now, |rated| rated.shown - rated.steps + (now - rated.since) * rated.rate)
     }
@@ -89,20 +89,20 @@
     pub seed: u64,
     /// Host name at the nodes that are probed, and how long a probe may take, seconds.
     pub name: String,
-    pub patience: f64,
+    pub probe_timeout: f64,
     /// The baseline, for comparison only.
-    pub plain: bool,
-    pub skew: Skew,
+    pub baseline: bool,
+    pub skewed_clock: SkewedClock,
     /// What initiators tell and lend each other; none where the settings switch both off.
     pub signals: Option<signal::Figures>,
-    pub manner: Spoken,
+    pub manner: SignalControl,
 }
 
 /// How the process signals, as a day's script sets it while it runs.
 #[derive(Clone, Default)]
-pub struct Spoken(Arc<Mutex<Manner>>);
+pub struct SignalControl(Arc<Mutex<Manner>>);
 
-impl Spoken {
+impl SignalControl {
     pub fn set(&self, manner: Manner) {
         *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = manner;
     }
@@ -141,10 +141,10 @@
 /// Starts a member on an executor.
 pub fn start(options: Options, executor: &Rc<LocalExecutor<'static>>, instance: Home) -> io::Result<Shared> {
     let clock = Clock::default();
-    let (now, _) = options.skew.shows(clock.now());
+    let (now, _) = options.skewed_clock.wall_clock(clock.now());
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
     let figures = options.figures.clone();
-    let core: Box<dyn Core> = match options.plain {
+    let core: Box<dyn Core> = match options.baseline {
         true => Box::new(Plain::start(now, figures)),
         false => Box::new(Together::start(now, wall, options.seed, figures)),
     };
@@ -241,7 +241,7 @@
 impl Fleet {
     /// This process's clock as the core sees it, and its rate.
     fn now(&self) -> (f64, f64) {
-        self.options.skew.shows(self.clock.now())
+        self.options.skewed_clock.wall_clock(self.clock.now())
     }
 
     /// Looks at the list of nodes for duties, and reports, now and then. False once the instance is gone.
@@ -298,12 +298,12 @@
                 }
                 Act::Signal(from, bytes) => {
                     let instance = self.instance.upgrade();
-                    instance.iter().for_each(|one| turn(one, |this| this.signalled(from, bytes.clone())));
+                    instance.iter().for_each(|one| run_turn(one, |this| this.signalled(from, bytes.clone())));
                 }
             }
         }
         if self.core.next_at() < before {
-            self.wake.tell();
+            self.wake.notify();
         }
     }
 
@@ -321,9 +321,9 @@
             return;
         };
         let (kept, me) = (self.spare.remove(&node), self.me.clone());
-        let (name, patience) = (self.options.name.clone(), self.options.patience);
+        let (name, patience) = (self.options.name.clone(), self.options.probe_timeout);
         let probe = async move {
-            let found = within(patience, look_at(kept, &node, &name)).await;
+            let found = with_timeout(patience, look_at(kept, &node, &name)).await;
             let Some(fleet) = me.upgrade() else { return };
             let mut this = fleet.borrow_mut();
             let good = found.as_ref().is_ok_and(|(_, good)| *good);
@@ -356,12 +356,13 @@
     }
     let address: SocketAddr = node.0.parse().map_err(|_| io::Error::other("not an address"))?;
     let subsystem = format!("nqn.2026-12.example.quaypath:node:{address}");
-    let (mut queue, _) = open_admin(address, &subsystem, name, Offer::default(), 0, false).await?;
+    let (mut queue, _) = open_admin_queue(address, &subsystem, name, Offer::default(), 0, false).await?;
     let good = healthy(&mut queue).await?;
     Ok((queue, good))
 }
 
 async fn healthy(queue: &mut Queue) -> io::Result<bool> {
-    let (cqe, _) = ask(queue, get_log(log::ANA, 0, 16, true), Vec::new(), 16, &mut Vec::new()).await?;
+    let (cqe, _) =
+        submit_and_wait(queue, get_log(log::ANA, 0, 16, true), Vec::new(), 16, &mut Vec::new()).await?;
     Ok(cqe.status == 0)
 }
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -32,19 +32,19 @@
 
 use crate::core::{Action, Actions, Core};
 use crate::counts::Counts;
-use crate::face::Face;
-use crate::fleet::Skew;
+use crate::event_loop::{Driver, Notify};
+use crate::fleet::SkewedClock;
 use crate::index::Index;
-use crate::list::{Call, Known, List, News};
 use crate::net;
+use crate::node_association::{Act, Event as Went, Path};
+use crate::node_list::{ListSnapshot, ListedNode, NodeList, RegisterCall};
 use crate::outcome::{outcome, Ended, Progress};
-use crate::path::{Act, Event as Went, Path};
 use crate::peer::{write_out, Stuck};
+use crate::peer_signals::Shares;
 use crate::polls::{spawn, take_summary, Peer, TaskKind};
 use crate::run::Options;
-use crate::shares::Shares;
-use crate::turns::{Notify, Turns};
-use crate::wheel::Wheel;
+use crate::subsystem::Face;
+use crate::timer_wheel::TimerWheel;
 
 /// Data asked for and not yet taken by one client connection, bytes, at which its commands are turned away.
 const MOST_HELD: usize = 16 << 20;
@@ -60,7 +60,7 @@
 
 /// What happens to the core, in order.
 enum Happened {
-    List(ListScope, Vec<Known>),
+    List(ListScope, Vec<ListedNode>),
     Taken(u64),
     /// Transaction, shot, what ended it, and what the answer told.
     Back(u64, u32, Ended, Told),
@@ -179,7 +179,7 @@
     clock: Clock,
     now: f64,
     beat_at: f64,
-    timers: Wheel<Timer>,
+    timers: TimerWheel<Timer>,
     wake: Rc<Notify>,
     open: BTreeMap<u64, Open>,
     next_id: u64,
@@ -192,23 +192,23 @@
     nodes: BTreeMap<NodeId, Node>,
     /// Connections with output to be written at the end of this turn.
     dirty: Vec<u64>,
-    list: List,
+    list: NodeList,
     keeper: Keeper,
-    pub calls: VecDeque<Call>,
+    pub calls: VecDeque<RegisterCall>,
     pub calls_ready: Rc<Notify>,
     marks_from: u64,
     pub counts: Counts,
     /// Where initiators talk.
     shares: Option<Shares>,
-    skew: Skew,
+    skew: SkewedClock,
     executor: Weak<LocalExecutor<'static>>,
     me: Weak<RefCell<Instance>>,
 }
 
-impl Turns for Instance {
+impl Driver for Instance {
     /// The clock as it is, between turns.
     fn clock_now(&self) -> f64 {
-        self.skew.rated(self.clock.now())
+        self.skew.monotonic(self.clock.now())
     }
 
     /// Reads the clock; every turn starts with it, and the core is called with nothing else.
@@ -229,12 +229,12 @@
     }
 
     fn next_timer(&self) -> Option<f64> {
-        self.timers.next_at()
+        self.timers.next_expiry()
     }
 
-    fn ring(&mut self) {
+    fn fire_timers(&mut self) {
         let mut due = Vec::new();
-        self.timers.ring(self.now, &mut due);
+        self.timers.advance(self.now, &mut due);
         for timer in due {
             match timer {
                 Timer::Core(tag) => self.events.push_back(Happened::Rang(tag)),
@@ -259,7 +259,7 @@
         }
     }
 
-    fn wake(&self) -> Rc<Notify> {
+    fn timer_changed(&self) -> Rc<Notify> {
         self.wake.clone()
     }
 }
@@ -267,16 +267,17 @@
 impl Instance {
     pub fn start(options: &Options, executor: &Rc<LocalExecutor<'static>>) -> Rc<RefCell<Instance>> {
         let (clock, deployment) = (Clock::default(), options.deployment.clone());
-        let skew = options.fleet.as_ref().map_or_else(Skew::default, |fleet| fleet.skew.clone());
-        let now = skew.rated(clock.now());
-        let (list, told) = List::load(&options.list);
+        let skew =
+            options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
+        let now = skew.monotonic(clock.now());
+        let (list, told) = NodeList::load(&options.list_path);
         if let Some(told) = told {
             warn!(told, "the last node list cannot be read; started without");
         }
         let signals = options.fleet.as_ref().and_then(|fleet| fleet.signals.clone());
         let shares = signals.map(|figures| Shares::new(Signals::start(now, figures)));
         let mut actions = Actions(VecDeque::new(), shares.as_ref().map(|_| Vec::new()));
-        let core = (options.core)(now, options.seed, &deployment, &mut actions);
+        let core = (options.core_factory)(now, options.seed, &deployment, &mut actions);
         let known = list.known();
         info!(nodes = known.len(), "started with the last node list");
         let instance = Rc::new(RefCell::new(Instance {
@@ -288,7 +289,7 @@
             clock,
             now,
             beat_at: now,
-            timers: Wheel::new(now),
+            timers: TimerWheel::new(now),
             wake: Rc::default(),
             open: BTreeMap::new(),
             next_id: 1,
@@ -301,7 +302,7 @@
             nodes: BTreeMap::new(),
             dirty: Vec::new(),
             list,
-            keeper: Keeper::start(options.list.clone(), |path, error| {
+            keeper: Keeper::start(options.list_path.clone(), |path, error| {
                 warn!(path = %path.display(), %error, "the node list is not kept");
             }),
             calls: VecDeque::new(),
@@ -448,14 +449,16 @@
                     u64::from(self.answer(id, status::INTERNAL_ERROR | status::DNR, 0, &[]));
             }
             Action::Timer(after, tag) => self.timers.set(self.now + after.max(0.0), Timer::Core(tag)),
-            Action::Call(call) => {
+            Action::RegisterCall(call) => {
                 if self.calls.len() < MOST_CALLS {
                     self.calls.push_back(call);
-                    self.calls_ready.tell();
+                    self.calls_ready.notify();
                 }
             }
             Action::Close(node) => self.close_idle(&node),
-            Action::Unused(what) => debug!(what, "asked for by the core, and no deployment here allows it"),
+            Action::Unsupported(what) => {
+                debug!(what, "asked for by the core, and no deployment here allows it")
+            }
         }
     }
 
@@ -525,7 +528,7 @@
         names.iter().for_each(|name| self.went(name, Went::Tick));
         // A node that is gone, with nothing at it, need not be remembered.
         self.nodes.retain(|_, node| {
-            let missed = matches!(node.path.state(), crate::path::State::Waiting { .. });
+            let missed = matches!(node.path.state(), crate::node_association::State::Waiting { .. });
             let idle = matches!(node.link, Link::Closed) && node.waiting.is_empty() && !missed;
             !(idle && node.shut_since.is_none_or(|since| now - since > 60.0))
         });
@@ -573,7 +576,7 @@
 
     // The register.
 
-    pub fn news(&mut self, news: &News) {
+    pub fn news(&mut self, news: &ListSnapshot) {
         let known = self.list.take(self.now, news);
         self.keeper.keep(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
@@ -596,7 +599,7 @@
 
     /// From here on nothing new leaves for nodes that drain or are gone: what waits in our own queues is taken
     /// back at once, and what the kernel still holds when the grace ends is reset.
-    fn shut(&mut self, known: &[Known], scope: ListScope) {
+    fn shut(&mut self, known: &[ListedNode], scope: ListScope) {
         let mut shut: Vec<NodeId> = Vec::new();
         for (node, _, condition, started, _) in known {
             match condition {
@@ -909,7 +912,7 @@
         let number = t.shots;
         t.shots += 1;
         let stop_at = if stop_at > 0.0 { stop_at.min(t.outer) } else { t.outer };
-        let (sent_at, progress) = (self.now, Progress::Opening);
+        let (sent_at, progress) = (self.now, Progress::Connecting);
         t.shot = Some(Shot { number, node: node.clone(), progress, at: None, sent_at });
         self.counts.shots += 1;
         self.counts.further += u64::from(number > 0);
@@ -981,7 +984,7 @@
         back.used_at = self.now;
         match back.machine.submit(sqe, t.data.clone(), t.read) {
             Some((cid, bytes)) => {
-                shot.progress.to(Progress::Queued);
+                shot.progress.advance_to(Progress::Queued);
                 shot.at = Some((connection, cid));
                 back.queue.push_back(Queued { id, shot: number, cid, bytes });
                 back.shots.insert(cid, (id, number));
@@ -1124,7 +1127,7 @@
         // Answers to our Aborts, on the admin queue, decide nothing.
         let Some((id, number)) = back.shots.remove(&cid) else { return };
         let told = Told::of(&cqe);
-        if outcome(Ended::Answered(cqe.status), Progress::Out) == Outcome::Settled {
+        if outcome(Ended::Answered(cqe.status), Progress::Sent) == Outcome::Settled {
             // The client's answer; the core is told in the same turn that the transaction is over.
             let owed = self.open.get(&id).is_some_and(|t| t.client.is_some());
             if owed {
@@ -1290,9 +1293,9 @@
             for ((id, number), whole) in begun {
                 let shot = self.open.get_mut(&id).and_then(|t| t.shot.as_mut());
                 let Some(shot) = shot.filter(|shot| shot.number == number) else { continue };
-                let next = if whole { Progress::Out } else { Progress::Leaving };
+                let next = if whole { Progress::Sent } else { Progress::PartlySent };
                 if shot.progress < next {
-                    shot.progress.to(next);
+                    shot.progress.advance_to(next);
                 }
             }
         }
--- a/crates/initiator/src/lib.rs
+++ b/crates/initiator/src/lib.rs
@@ -6,22 +6,22 @@
 
 pub mod core;
 pub mod counts;
-pub mod face;
+pub mod event_loop;
 pub mod fleet;
 pub mod index;
 pub mod instance;
-pub mod list;
 pub mod net;
+pub mod node_association;
+pub mod node_list;
 pub mod outcome;
-pub mod path;
 pub mod peer;
+pub mod peer_signals;
 pub mod polls;
 pub mod queue;
 pub mod register;
 pub mod run;
-pub mod shares;
-pub mod turns;
-pub mod wheel;
+pub mod subsystem;
+pub mod timer_wheel;
 
 pub use counts::Counts;
 pub use run::{run, Options};
--- a/crates/initiator/src/net.rs
+++ b/crates/initiator/src/net.rs
@@ -14,18 +14,18 @@
 use quaypath_settings::Digests;
 use tracing::debug;
 
+use crate::event_loop::{accept_next, run_turn, try_read, with_timeout, Received, MAX_READ_BYTES};
 use crate::instance::Instance;
 use crate::polls::{spawn, yield_if_spent, Peer, TaskKind};
-use crate::queue::{open_admin, open_queue, Queue};
-use crate::turns::{accepted, read_now, turn, within, Came, READ};
+use crate::queue::{open_admin_queue, open_io_queue, Queue};
 
 pub async fn accept(
     instance: Weak<RefCell<Instance>>, executor: Weak<LocalExecutor<'static>>, listener: Async<TcpListener>,
 ) {
     loop {
-        let (stream, peer) = accepted(&listener).await;
+        let (stream, peer) = accept_next(&listener).await;
         let (Some(instance), Some(executor)) = (instance.upgrade(), executor.upgrade()) else { return };
-        let opened = turn(&instance, |this| this.front_opened(stream.clone()));
+        let opened = run_turn(&instance, |this| this.front_opened(stream.clone()));
         let Some(connection) = opened else {
             debug!(%peer, "closed: as many client connections as allowed");
             continue;
@@ -44,10 +44,11 @@
         yield_if_spent().await;
         let Some(this) = instance.upgrade() else { return };
         this.borrow_mut().counts.reads += 1;
-        let read = read_now(stream.get_ref(), READ, |bytes| turn(&this, |this| take(this, bytes)));
+        let read =
+            try_read(stream.get_ref(), MAX_READ_BYTES, |bytes| run_turn(&this, |this| take(this, bytes)));
         let more = match read {
-            Ok(Some(Came::Bytes(more))) => more,
-            Ok(Some(Came::End)) => false,
+            Ok(Some(Received::Bytes(more))) => more,
+            Ok(Some(Received::End)) => false,
             Ok(None) => {
                 drop(this);
                 if stream.readable().await.is_err() {
@@ -61,7 +62,7 @@
             }
         };
         if !more {
-            return turn(&this, close);
+            return run_turn(&this, close);
         }
         drop(this);
     }
@@ -81,7 +82,7 @@
 pub async fn drain(instance: Weak<RefCell<Instance>>, connection: u64, stream: Rc<Async<TcpStream>>) {
     let _ = stream.writable().await;
     if let Some(instance) = instance.upgrade() {
-        turn(&instance, |this| this.unblocked(connection));
+        run_turn(&instance, |this| this.unblocked(connection));
     }
 }
 
@@ -97,19 +98,20 @@
         let address: SocketAddr = node.0.parse().map_err(|_| io::Error::other("not an address"))?;
         let subsystem = format!("nqn.2026-12.example.quaypath:node:{address}");
         let offer = offer(&waits);
-        let (admin, enable) = open_admin(address, &subsystem, &host, offer, waits.queues, false).await?;
+        let (admin, enable) =
+            open_admin_queue(address, &subsystem, &host, offer, waits.queues, false).await?;
         let mut queues = vec![admin];
         for number in 1..=enable.queues.clamp(1, waits.queues) {
-            queues.push(open_queue(address, number, enable.controller, &subsystem, &host, offer).await?);
+            queues.push(open_io_queue(address, number, enable.controller, &subsystem, &host, offer).await?);
         }
         Ok(queues)
     };
-    let opened: io::Result<Vec<Queue>> = within(waits.connect, opening).await;
+    let opened: io::Result<Vec<Queue>> = with_timeout(waits.connect, opening).await;
     let Some(this) = instance.upgrade() else { return };
     match opened {
         Ok(queues) => {
             let streams: Vec<_> = queues.iter().map(|(_, stream)| stream.clone()).collect();
-            let ids = turn(&this, |this| this.link_opened(&node, queues));
+            let ids = run_turn(&this, |this| this.link_opened(&node, queues));
             let executor = this.borrow().executor();
             let weak = Rc::downgrade(&this);
             drop(this);
@@ -120,7 +122,7 @@
                 }
             }
         }
-        Err(error) => turn(&this, |this| this.link_failed(&node, &error.to_string())),
+        Err(error) => run_turn(&this, |this| this.link_failed(&node, &error.to_string())),
     }
 }
 
--- a/crates/initiator/src/list.rs
+++ b/crates/initiator/src/node_list.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Most nodes of one list.
-pub const MOST_NODES: usize = 65536;
+pub const MAX_NODES: usize = 65536;
 
 /// What the core asks of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum RegisterCall {
     /// Changes from now on, or no more.
     Watch { on: bool },
     /// The whole list once.
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct NodeEntry {
     /// Address and port.
     pub node: String,
     pub zone: String,
@@ -34,13 +34,13 @@
 
 /// The whole list, as of one generation of the register's log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListSnapshot {
     pub revision: u64,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<NodeEntry>,
 }
 
 /// An entry as the core takes it. The register tells no sizes.
-pub type Known = quaypath::types::Listed;
+pub type ListedNode = quaypath::types::Listed;
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Row {
@@ -54,20 +54,20 @@
 
 /// The list as this initiator holds it, starts turned into times of its own clock.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct NodeList {
     rows: Vec<Row>,
 }
 
-impl List {
+impl NodeList {
     /// The last list on disk; empty where there is none. A file that cannot be read is as none, and told.
     pub fn load(path: &Path) -> (Self, Option<String>) {
         match std::fs::read(path) {
             Ok(bytes) => match serde_json::from_slice(&bytes) {
-                Ok(rows) => (List { rows }, None),
-                Err(error) => (List::default(), Some(format!("{}: {error}", path.display()))),
+                Ok(rows) => (NodeList { rows }, None),
+                Err(error) => (NodeList::default(), Some(format!("{}: {error}", path.display()))),
             },
-            Err(error) if error.kind() == io::ErrorKind::NotFound => (List::default(), None),
-            Err(error) => (List::default(), Some(format!("{}: {error}", path.display()))),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => (NodeList::default(), None),
+            Err(error) => (NodeList::default(), Some(format!("{}: {error}", path.display()))),
         }
     }
 
@@ -76,15 +76,15 @@
         serde_json::to_vec(&self.rows).expect("numbers and strings have a form in JSON")
     }
 
-    pub fn known(&self) -> Vec<Known> {
+    pub fn known(&self) -> Vec<ListedNode> {
         self.rows.iter().map(Row::known).collect()
     }
 
     /// Takes a new list and gives it in the core's terms, in order.
-    pub fn take(&mut self, now: f64, news: &News) -> Vec<Known> {
+    pub fn take(&mut self, now: f64, news: &ListSnapshot) -> Vec<ListedNode> {
         self.rows.retain(|row| news.entries.iter().any(|entry| entry.node == row.node));
         let mut told = Vec::new();
-        for entry in news.entries.iter().take(MOST_NODES) {
+        for entry in news.entries.iter().take(MAX_NODES) {
             let started = entry.age.map_or(0.0, |age| now - age.clamp(0.0, now));
             let at = self.rows.iter().position(|row| row.node == entry.node);
             // The same start keeps the time that it was first given: the age comes with a delay that varies.
@@ -111,7 +111,7 @@
 }
 
 impl Row {
-    fn known(&self) -> Known {
+    fn known(&self) -> ListedNode {
         let condition = if self.ready { Condition::Ready } else { Condition::Draining };
         (NodeId(self.node.as_str().into()), BlockId(self.block), condition, self.started, 0.0)
     }
@@ -121,19 +121,19 @@
 mod tests {
     use super::*;
 
-    fn entry(node: &str, condition: Condition, age: f64, start: u64) -> Entry {
+    fn entry(node: &str, condition: Condition, age: f64, start: u64) -> NodeEntry {
         let (node, zone) = (node.into(), "a".into());
-        Entry { node, zone, block: 1, condition, age: Some(age), start }
+        NodeEntry { node, zone, block: 1, condition, age: Some(age), start }
     }
 
-    fn news(entries: Vec<Entry>) -> News {
-        News { revision: 1, entries }
+    fn news(entries: Vec<NodeEntry>) -> ListSnapshot {
+        ListSnapshot { revision: 1, entries }
     }
 
     /// A start told twice with different delays must not look like a second start: the core would forget its node.
     #[test]
     fn a_start_keeps_its_time_and_a_new_start_has_a_new_one() {
-        let mut list = List::default();
+        let mut list = NodeList::default();
         let first = list.take(100.0, &news(vec![entry("n", Condition::Ready, 5.0, 1)]));
         let again = list.take(110.0, &news(vec![entry("n", Condition::Ready, 15.3, 1)]));
         let new = list.take(120.0, &news(vec![entry("n", Condition::Ready, 0.5, 2)]));
@@ -143,15 +143,15 @@
     #[test]
     fn what_is_kept_on_disk_is_what_was_known_and_a_torn_file_is_none() {
         let path = std::env::temp_dir().join(format!("quaypath-list-{}", std::process::id()));
-        let mut list = List::default();
+        let mut list = NodeList::default();
         let listed = vec![entry("n", Condition::Ready, 5.0, 1), entry("m", Condition::Draining, 1.0, 1)];
         list.take(50.0, &news(listed.clone()));
         list.take(51.0, &news([listed, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
         assert_eq!(list.known().len(), 2);
         quaypath_record::apart::replace(&path, &list.bytes()).unwrap();
-        assert_eq!(List::load(&path).0.known(), list.known());
+        assert_eq!(NodeList::load(&path).0.known(), list.known());
         std::fs::write(&path, b"[{\"node\":").unwrap();
-        let (torn, told) = List::load(&path);
+        let (torn, told) = NodeList::load(&path);
         assert!(torn.known().is_empty() && told.is_some());
         std::fs::remove_file(&path).unwrap();
     }
--- a/crates/initiator/src/outcome.rs
+++ b/crates/initiator/src/outcome.rs
@@ -7,28 +7,28 @@
 use quaypath::types::Outcome;
 use quaypath_nvme::status;
 
-/// How far a shot has come. Every change goes through [`Progress::to`].
+/// How far a shot has come. Every change goes through [`Progress::advance_to`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
     /// Waits for a connection.
-    Opening,
+    Connecting,
     /// Encoded, in the connection's queue; no byte was handed to the kernel.
     Queued,
     /// Some bytes were handed to the kernel.
-    Leaving,
+    PartlySent,
     /// All bytes were.
-    Out,
+    Sent,
 }
 
 impl Progress {
     /// Moves on; a shot never goes back over the line.
-    pub fn to(&mut self, next: Progress) {
+    pub fn advance_to(&mut self, next: Progress) {
         debug_assert!(next > *self, "{self:?} to {next:?}");
         *self = next;
     }
 
     pub fn may_have_run(self) -> bool {
-        self >= Progress::Leaving
+        self >= Progress::PartlySent
     }
 }
 
@@ -89,24 +89,24 @@
     use test_case::test_case;
     use Progress::*;
 
-    #[test_case(Ended::Lost, Opening, Outcome::Unreachable; "no connection")]
+    #[test_case(Ended::Lost, Connecting, Outcome::Unreachable; "no connection")]
     #[test_case(Ended::Lost, Queued, Outcome::Unreachable; "reset before the first byte")]
-    #[test_case(Ended::Lost, Leaving, Outcome::Reset; "partly written")]
-    #[test_case(Ended::Lost, Out, Outcome::Reset; "written and reset")]
+    #[test_case(Ended::Lost, PartlySent, Outcome::Reset; "partly written")]
+    #[test_case(Ended::Lost, Sent, Outcome::Reset; "written and reset")]
     #[test_case(Ended::TimeUp, Queued, Outcome::Moot; "time up in our own queue")]
-    #[test_case(Ended::TimeUp, Leaving, Outcome::TimedOut; "time up half way")]
-    #[test_case(Ended::TimeUp, Out, Outcome::TimedOut; "time up")]
-    #[test_case(Ended::CalledOff, Opening, Outcome::Moot; "called off unsent")]
-    #[test_case(Ended::CalledOff, Out, Outcome::Cancelled; "called off")]
-    #[test_case(Ended::Answered(status::SUCCESS), Out, Outcome::Settled; "settled")]
-    #[test_case(Ended::Answered(status::COMPARE_FAILURE), Out, Outcome::Settled; "a comparison that found a difference")]
-    #[test_case(Ended::Answered(status::TRANSPORT_ERROR), Out, Outcome::Failed; "data spoilt on the way")]
-    #[test_case(Ended::Answered(status::FULL), Out, Outcome::Full; "full")]
-    #[test_case(Ended::Answered(status::DRAINING | status::CRD1), Out, Outcome::Full; "draining, with a delay")]
-    #[test_case(Ended::Answered(status::INTERRUPTED), Out, Outcome::Full; "interrupted")]
-    #[test_case(Ended::Answered(status::ABORTED_BY_REQUEST), Out, Outcome::Cancelled; "aborted")]
-    #[test_case(Ended::Answered(status::INTERNAL_ERROR), Out, Outcome::Failed; "internal error")]
-    #[test_case(Ended::Answered(status::INVALID_FIELD | status::DNR), Out, Outcome::Failed; "invalid field")]
+    #[test_case(Ended::TimeUp, PartlySent, Outcome::TimedOut; "time up half way")]
+    #[test_case(Ended::TimeUp, Sent, Outcome::TimedOut; "time up")]
+    #[test_case(Ended::CalledOff, Connecting, Outcome::Moot; "called off unsent")]
+    #[test_case(Ended::CalledOff, Sent, Outcome::Cancelled; "called off")]
+    #[test_case(Ended::Answered(status::SUCCESS), Sent, Outcome::Settled; "settled")]
+    #[test_case(Ended::Answered(status::COMPARE_FAILURE), Sent, Outcome::Settled; "a comparison that found a difference")]
+    #[test_case(Ended::Answered(status::TRANSPORT_ERROR), Sent, Outcome::Failed; "data spoilt on the way")]
+    #[test_case(Ended::Answered(status::FULL), Sent, Outcome::Full; "full")]
+    #[test_case(Ended::Answered(status::DRAINING | status::CRD1), Sent, Outcome::Full; "draining, with a delay")]
+    #[test_case(Ended::Answered(status::INTERRUPTED), Sent, Outcome::Full; "interrupted")]
+    #[test_case(Ended::Answered(status::ABORTED_BY_REQUEST), Sent, Outcome::Cancelled; "aborted")]
+    #[test_case(Ended::Answered(status::INTERNAL_ERROR), Sent, Outcome::Failed; "internal error")]
+    #[test_case(Ended::Answered(status::INVALID_FIELD | status::DNR), Sent, Outcome::Failed; "invalid field")]
     fn table(ended: Ended, progress: Progress, expected: Outcome) {
         assert_eq!(outcome(ended, progress), expected);
     }
--- a/crates/initiator/src/shares.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -10,7 +10,7 @@
 use quaypath_fleet::MemberId;
 
 use crate::core::{Actions, Core};
-use crate::turns::Notify;
+use crate::event_loop::Notify;
 
 /// Messages that wait for the fleet's driver, at most; the rest is lost, as datagrams are.
 const MOST_WAITING: usize = 256;
@@ -47,7 +47,7 @@
         let waiting = self.tells.len();
         let done = act(&mut self.signals, &mut Books { core, actions, tells: &mut self.tells });
         if self.tells.len() > waiting {
-            self.tells_ready.tell();
+            self.tells_ready.notify();
         }
         done
     }
--- a/crates/initiator/src/polls.rs
+++ b/crates/initiator/src/polls.rs
@@ -2,7 +2,7 @@
 //!
 //! A poll is one run of a task by the executor. Nothing else of the thread runs meanwhile, so the longest poll is the
 //! longest time for which one peer can keep all others waiting. A loop that goes on for as long as its peer sends calls
-//! [`yield_if_spent`] in each round; [`crate::turns::read_some`] does so before each read.
+//! [`yield_if_spent`] in each round; [`crate::event_loop::read_some`] does so before each read.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
--- a/crates/initiator/src/queue.rs
+++ b/crates/initiator/src/queue.rs
@@ -58,7 +58,7 @@
 }
 
 /// Connects and enables an admin queue; wants this many I/O queues, and events or not.
-pub async fn open_admin(
+pub async fn open_admin_queue(
     address: SocketAddr, subsystem: &str, host: &str, offer: Offer, queues: u16, events: bool,
 ) -> io::Result<(Queue, Enable)> {
     let stream = Async::<TcpStream>::connect(address).await?;
@@ -74,7 +74,7 @@
 }
 
 /// Connects an I/O queue of an association.
-pub async fn open_queue(
+pub async fn open_io_queue(
     address: SocketAddr, number: u16, controller: u16, subsystem: &str, host: &str, offer: Offer,
 ) -> io::Result<Queue> {
     let stream = Async::<TcpStream>::connect(address).await?;
@@ -90,7 +90,7 @@
 
 /// One command and its answer, on a queue that nothing else uses. Completions of event requests that come meanwhile
 /// go into `events`.
-pub async fn ask(
+pub async fn submit_and_wait(
     queue: &mut Queue, sqe: Sqe, data: Vec<u8>, expected: usize, events: &mut Vec<Cqe>,
 ) -> io::Result<(Cqe, Vec<u8>)> {
     let (machine, stream) = queue;
@@ -110,7 +110,7 @@
 }
 
 /// Waits for the completion of an event request.
-pub async fn event(queue: &mut Queue) -> io::Result<Cqe> {
+pub async fn wait_for_event(queue: &mut Queue) -> io::Result<Cqe> {
     let (machine, stream) = queue;
     converse(machine, stream, |_, event| match event {
         Event::Done { cqe, .. } => Ok(Some(cqe)),
--- a/crates/initiator/src/register.rs
+++ b/crates/initiator/src/register.rs
@@ -17,13 +17,13 @@
 use quaypath_settings::Mode;
 use tracing::{debug, warn};
 
+use crate::event_loop::{run_turn, with_timeout};
 use crate::instance::Instance;
-use crate::list::{Call, Entry, News, MOST_NODES};
-use crate::queue::{ask, event, open_admin, Queue};
-use crate::turns::{turn, within};
+use crate::node_list::{ListSnapshot, NodeEntry, RegisterCall, MAX_NODES};
+use crate::queue::{open_admin_queue, submit_and_wait, wait_for_event, Queue};
 
 /// The well-known name of a discovery subsystem.
-pub const DISCOVERY: &str = "nqn.2014-08.org.nvmexpress.discovery";
+pub const DISCOVERY_NQN: &str = "nqn.2014-08.org.nvmexpress.discovery";
 /// Waits between attempts to connect, seconds. Connections only: when to call is the core's.
 const FIRST_WAIT: f64 = 0.1;
 const LAST_WAIT: f64 = 2.0;
@@ -60,10 +60,10 @@
         let opening = async {
             let address = register.address.parse().map_err(io::Error::other)?;
             let offer = Offer { keep_alive_ms: (keep_alive * 1e3) as u32, ..Offer::default() };
-            let (queue, _) = open_admin(address, DISCOVERY, &name, offer, 0, true).await?;
+            let (queue, _) = open_admin_queue(address, DISCOVERY_NQN, &name, offer, 0, true).await?;
             Ok(queue)
         };
-        let ended = match within(PATIENCE, opening).await {
+        let ended = match with_timeout(PATIENCE, opening).await {
             Ok(queue) => {
                 wait = FIRST_WAIT;
                 talk(&instance, queue, register.mode, keep_alive).await
@@ -74,7 +74,7 @@
             debug!(%error, address = register.address, "register");
         }
         let Some(this) = instance.upgrade() else { return };
-        turn(&this, |this| {
+        run_turn(&this, |this| {
             // Whatever was asked of this connection is lost with it, and so is a watch.
             this.calls.clear();
             this.call_failed();
@@ -108,8 +108,8 @@
         };
         drop(this);
         match call {
-            Some(Call::Watch { on }) => (watches, look) = (on, on),
-            Some(Call::Fetch) => look = true,
+            Some(RegisterCall::Watch { on }) => (watches, look) = (on, on),
+            Some(RegisterCall::Fetch) => look = true,
             None => {}
         }
         // An event is used up by telling of it: the next is asked for before the log is read.
@@ -122,20 +122,20 @@
         }
         if look {
             look = false;
-            let read = within(PATIENCE, read_list(&mut queue, &mut events)).await?;
+            let read = with_timeout(PATIENCE, read_list(&mut queue, &mut events)).await?;
             let Some(this) = instance.upgrade() else { return Ok(()) };
             match read {
-                Ok(news) => turn(&this, |this| this.news(&news)),
+                Ok(news) => run_turn(&this, |this| this.news(&news)),
                 Err(status) => {
                     debug!(status, "a call to the register failed");
                     watches = mode == Mode::Pushed;
-                    turn(&this, Instance::call_failed);
+                    run_turn(&this, Instance::call_failed);
                 }
             }
             continue;
         }
         let rest = if keep_alive > 0.0 { keep_alive / 3.0 } else { 3600.0 };
-        let told = async { event(&mut queue).await.map(Woken::Event) };
+        let told = async { wait_for_event(&mut queue).await.map(Woken::Event) };
         let called = async {
             ready.wait().await;
             Ok(Woken::Called)
@@ -149,7 +149,11 @@
             Woken::Called => {}
             Woken::Quiet => {
                 let sqe = plain(opcode::KEEP_ALIVE);
-                within(keep_alive.max(0.1), ask(&mut queue, sqe, Vec::new(), 0, &mut events)).await?;
+                with_timeout(
+                    keep_alive.max(0.1),
+                    submit_and_wait(&mut queue, sqe, Vec::new(), 0, &mut events),
+                )
+                .await?;
             }
         }
     }
@@ -159,12 +163,12 @@
     queue: &mut Queue, page: u8, from: usize, length: usize, keep: bool, events: &mut Vec<Cqe>,
 ) -> io::Result<Result<Vec<u8>, u16>> {
     let sqe = get_log(page, from as u64, length, keep);
-    let (cqe, data) = ask(queue, sqe, Vec::new(), admin::brings(&sqe), events).await?;
+    let (cqe, data) = submit_and_wait(queue, sqe, Vec::new(), admin::brings(&sqe), events).await?;
     Ok(if cqe.status == 0 { Ok(data) } else { Err(cqe.status) })
 }
 
 /// The discovery log and the access states, all of one generation; or the status of the call that failed.
-async fn read_list(queue: &mut Queue, events: &mut Vec<Cqe>) -> io::Result<Result<News, u16>> {
+async fn read_list(queue: &mut Queue, events: &mut Vec<Cqe>) -> io::Result<Result<ListSnapshot, u16>> {
     let broken = |what: &str| io::Error::other(format!("the register's log {what}"));
     for _ in 0..MOST_READS {
         // Reading from the start without RAE: further changes are told again.
@@ -173,7 +177,7 @@
             Err(status) => return Ok(Err(status)),
         };
         let (generation, count) = discovery_header(&head).ok_or_else(|| broken("has no header"))?;
-        if count > MOST_NODES as u64 {
+        if count > MAX_NODES as u64 {
             warn!(count, "the register lists more nodes than are taken");
             return Err(broken("is too long"));
         }
@@ -207,7 +211,7 @@
                 Some(ana::PERSISTENT_LOSS) => Condition::Gone,
                 _ => Condition::Draining,
             };
-            entries.push(Entry {
+            entries.push(NodeEntry {
                 node: format!("{}:{}", record.address, record.service),
                 zone: record.zone,
                 block: record.block,
@@ -216,7 +220,7 @@
                 start: record.start,
             });
         }
-        return Ok(Ok(News { revision: generation, entries }));
+        return Ok(Ok(ListSnapshot { revision: generation, entries }));
     }
     Err(broken("never stands still"))
 }
--- a/crates/initiator/src/run.rs
+++ b/crates/initiator/src/run.rs
@@ -14,10 +14,10 @@
 use tracing::info;
 
 use crate::counts::Counts;
+use crate::event_loop::run_timers;
 use crate::fleet::{self, Fleet};
 use crate::instance::Instance;
 use crate::polls::{self, spawn, Peer, TaskKind};
-use crate::turns::timers;
 use crate::{net, register};
 
 /// What one instance is started with.
@@ -28,9 +28,9 @@
     pub number: u32,
     pub seed: u64,
     /// Where the last node list is kept.
-    pub list: PathBuf,
+    pub list_path: PathBuf,
     /// What decides.
-    pub core: crate::core::Make,
+    pub core_factory: crate::core::CoreFactory,
     /// Its place in the fleet; none where the settings say that initiators do not talk.
     pub fleet: Option<fleet::Options>,
 }
@@ -44,7 +44,7 @@
     let weak = Rc::downgrade(&instance);
     let accept = net::accept(weak.clone(), Rc::downgrade(&executor), listener);
     spawn(&executor, TaskKind::Accept, Peer::None, accept);
-    spawn(&executor, TaskKind::Timers, Peer::None, timers(weak.clone()));
+    spawn(&executor, TaskKind::Timers, Peer::None, run_timers(weak.clone()));
     spawn(&executor, TaskKind::Discovery, Peer::None, register::follow(weak.clone()));
     spawn(&executor, TaskKind::Report, Peer::None, report(weak));
     let fleet =
--- a/crates/initiator/src/face.rs
+++ b/crates/initiator/src/subsystem.rs
@@ -9,14 +9,14 @@
 }
 
 /// Name of the gateway as a subsystem.
-pub const SUBSYSTEM: &str = "nqn.2026-12.example.quaypath:gateway";
+pub const SUBSYSTEM_NQN: &str = "nqn.2026-12.example.quaypath:gateway";
 
 impl View for Face<'_> {
     fn kind(&self) -> Kind {
         Kind::Io
     }
     fn subsystem(&self) -> &str {
-        SUBSYSTEM
+        SUBSYSTEM_NQN
     }
     fn namespaces(&self, after: u32) -> Vec<(u32, u64)> {
         let above = self.deployment.volumes.range(after.saturating_add(1)..);
--- a/crates/initiator/src/wheel.rs
+++ b/crates/initiator/src/timer_wheel.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     ticks: f64,
     origin: f64,
     tick: u64,
@@ -32,15 +32,15 @@
     due: Vec<Entry<T>>,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel that starts at `now`, seconds.
     pub fn new(now: f64) -> Self {
-        Self::fine(now, TICKS)
+        Self::with_resolution(now, TICKS)
     }
 
-    /// As [`Wheel::new`], with so many ticks a second; at 65,536 what is later than 12 days is as 12 days.
-    pub fn fine(now: f64, ticks: f64) -> Self {
-        Wheel {
+    /// As [`TimerWheel::new`], with so many ticks a second; at 65,536 what is later than 12 days is as 12 days.
+    pub fn with_resolution(now: f64, ticks: f64) -> Self {
+        TimerWheel {
             ticks,
             origin: now,
             tick: 0,
@@ -100,8 +100,8 @@
         Some((here + 1 + u64::from(ahead)) << shift)
     }
 
-    /// When to call [`Wheel::ring`] next: no timer is due earlier.
-    pub fn next_at(&self) -> Option<f64> {
+    /// When to call [`TimerWheel::advance`] next: no timer is due earlier.
+    pub fn next_expiry(&self) -> Option<f64> {
         if !self.due.is_empty() {
             return Some(f64::NEG_INFINITY);
         }
@@ -109,7 +109,7 @@
     }
 
     /// Moves to `now` and hands over what is due.
-    pub fn ring(&mut self, now: f64, into: &mut Vec<T>) {
+    pub fn advance(&mut self, now: f64, into: &mut Vec<T>) {
         let target = ((now - self.origin) * self.ticks).floor().max(0.0) as u64;
         while let Some(next) = self.next_tick().filter(|next| *next <= target) {
             self.tick = next;
@@ -148,14 +148,14 @@
             steps in proptest::collection::vec((0.0..4000.0f64, 0.0..1.0f64, 0u8..4), 1..120),
         ) {
             let mut now = 1e9;
-            let (mut wheel, mut plain) = (Wheel::new(now), Vec::<(f64, usize)>::new());
+            let (mut wheel, mut plain) = (TimerWheel::new(now), Vec::<(f64, usize)>::new());
             for (at, (far, step, scale)) in steps.iter().enumerate() {
                 let after = far * [1.0, 1e-1, 1e-3, 1e-6][usize::from(*scale)];
                 wheel.set(now + after, at);
                 plain.push((now + after, at));
                 now += step * [0.01, 1.0, 60.0, 700.0][usize::from(*scale)];
                 let mut rang = Vec::new();
-                wheel.ring(now, &mut rang);
+                wheel.advance(now, &mut rang);
                 plain.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
                 let expected: Vec<_> = plain.iter().filter(|one| rang.contains(&one.1)).map(|one| one.1).collect();
                 prop_assert_eq!(&rang, &expected);
@@ -167,7 +167,7 @@
                 plain.retain(|one| !rang.contains(&one.1));
                 prop_assert_eq!(wheel.len(), plain.len());
                 // Nothing may be due before the time that the caller is told to come back at.
-                let next = wheel.next_at().unwrap_or(f64::INFINITY);
+                let next = wheel.next_expiry().unwrap_or(f64::INFINITY);
                 prop_assert!(plain.iter().all(|one| one.0 >= next - 1.0 / TICKS - 1e-6));
             }
         }
@@ -176,13 +176,13 @@
     /// A timer set in the past, as after a stall, rings at the next call.
     #[test]
     fn what_is_past_rings_at_once() {
-        let mut wheel = Wheel::new(10.0);
+        let mut wheel = TimerWheel::new(10.0);
         let mut rang = Vec::new();
-        wheel.ring(12.0, &mut rang);
+        wheel.advance(12.0, &mut rang);
         wheel.set(11.0, 'b');
         wheel.set(10.5, 'a');
-        assert_eq!(wheel.next_at(), Some(f64::NEG_INFINITY));
-        wheel.ring(12.0, &mut rang);
+        assert_eq!(wheel.next_expiry(), Some(f64::NEG_INFINITY));
+        wheel.advance(12.0, &mut rang);
         assert_eq!(rang, ['a', 'b']);
     }
 }
--- a/crates/load/benches/wheel.rs
+++ b/crates/load/benches/wheel.rs
@@ -5,25 +5,25 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::timer_wheel::TimerWheel;
 
 const RATE: f64 = 50_000.0;
 const COUNT: usize = 100_000;
 
 /// Each arrival comes with a limit some seconds ahead, as in the generator: what waits is mostly limits.
 fn with_wheel(limit: f64) -> u64 {
-    let mut wheel = Wheel::fine(0.0, 65_536.0);
+    let mut wheel = TimerWheel::with_resolution(0.0, 65_536.0);
     let (mut rang, mut sum, mut now) = (Vec::new(), 0, 0.0);
     for nth in 0..COUNT {
         now = nth as f64 / RATE;
         wheel.set(now + 0.1, 2 * nth as u64);
         wheel.set(now + limit, 2 * nth as u64 + 1);
         if nth % 16 == 0 {
-            wheel.ring(now, &mut rang);
+            wheel.advance(now, &mut rang);
             sum += rang.drain(..).sum::<u64>();
         }
     }
-    wheel.ring(now + limit + 1.0, &mut rang);
+    wheel.advance(now + limit + 1.0, &mut rang);
     sum + rang.drain(..).sum::<u64>()
 }
 
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use quaypath::types::Repeat;
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::timer_wheel::TimerWheel;
 use quaypath_settings::{Deployment, Load};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -166,7 +166,7 @@
     ended: bool,
     /// Why the source ended early.
     pub failed: Option<String>,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     start: f64,
     open: HashMap<u64, Operation>,
     think: Option<f64>,
@@ -201,7 +201,7 @@
             groups: load.group.iter().map(|group| (group.first, group.last)).collect(),
             longest: deployment.longest(),
         };
-        let mut wheel = Wheel::fine(start, TICKS);
+        let mut wheel = TimerWheel::with_resolution(start, TICKS);
         let clients = load.closed.as_ref().map_or(0, |closed| closed.clients / of.max(1));
         (0..clients).for_each(|client| wheel.set(start, Due::Client(client)));
         Generator {
@@ -245,7 +245,7 @@
     pub fn next_at(&self) -> f64 {
         let fill = self.ahead.as_ref().map_or(f64::INFINITY, |next| self.start + next.at - HORIZON);
         let fill = if self.planned >= AHEAD { f64::INFINITY } else { fill };
-        self.wheel.next_at().unwrap_or(f64::INFINITY).min(fill)
+        self.wheel.next_expiry().unwrap_or(f64::INFINITY).min(fill)
     }
 
     /// Takes arrivals into the wheel, as far ahead as its bounds allow.
@@ -273,7 +273,7 @@
         loop {
             self.fill(now);
             let mut rang = std::mem::take(&mut self.rang);
-            self.wheel.ring(now, &mut rang);
+            self.wheel.advance(now, &mut rang);
             let any = !rang.is_empty();
             for due in rang.drain(..) {
                 self.due(now, due, asks);
--- a/crates/load/src/net.rs
+++ b/crates/load/src/net.rs
@@ -12,9 +12,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use quaypath_initiator::face::SUBSYSTEM;
-use quaypath_initiator::queue::{open_admin, open_queue};
-use quaypath_initiator::turns::{within, Notify};
+use quaypath_initiator::event_loop::{with_timeout, Notify};
+use quaypath_initiator::queue::{open_admin_queue, open_io_queue};
+use quaypath_initiator::subsystem::SUBSYSTEM_NQN;
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::{status, QUEUE_SIZE};
@@ -110,14 +110,15 @@
     let host = format!("nqn.2026-12.example.quaypath:load:{part}");
     let offer = Offer::default();
     let opening = async {
-        let (admin, enable) = open_admin(address, SUBSYSTEM, &host, offer, wanted, false).await?;
+        let (admin, enable) = open_admin_queue(address, SUBSYSTEM_NQN, &host, offer, wanted, false).await?;
         let mut queues = vec![admin];
         for number in 1..=enable.queues.min(wanted).max(1) {
-            queues.push(open_queue(address, number, enable.controller, SUBSYSTEM, &host, offer).await?);
+            queues
+                .push(open_io_queue(address, number, enable.controller, SUBSYSTEM_NQN, &host, offer).await?);
         }
         Ok(queues)
     };
-    let opened: io::Result<_> = within(CONNECT, opening).await;
+    let opened: io::Result<_> = with_timeout(CONNECT, opening).await;
     let mut streams = Vec::new();
     {
         let mut this = state.borrow_mut();
@@ -195,7 +196,7 @@
     (generator, stopped)
 }
 
-/// Turns the generator whenever it wants it. False: nobody stopped it.
+/// Driver the generator whenever it wants it. False: nobody stopped it.
 async fn drive<S: Source>(state: Shared<S>, last: f64) -> bool {
     loop {
         let (wait, wake) = {
@@ -347,7 +348,7 @@
         self.line(peer);
         self.flush();
         if self.generator.next_at() < self.sleeps {
-            self.wake.tell();
+            self.wake.notify();
         }
         good
     }
@@ -388,7 +389,7 @@
             }
         }
         if self.generator.next_at() < self.sleeps {
-            self.wake.tell();
+            self.wake.notify();
         }
     }
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -10,8 +10,8 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use quaypath_http::{Part, ResponseDecoder};
+use quaypath_initiator::event_loop::{read_some, run_turn, with_timeout, Received};
 use quaypath_initiator::polls::yield_if_spent;
-use quaypath_initiator::turns::{read_some, turn, within, Came};
 use serde::Deserialize;
 use tracing::{debug, info, warn};
 
@@ -130,7 +130,7 @@
 
 async fn list(address: SocketAddr) -> io::Result<Listing> {
     let mut answer = call(address, "/discovery/hosts", true, MOST).await?;
-    let text = within(LIST, async {
+    let text = with_timeout(LIST, async {
         let mut text = Vec::new();
         while let Part::Body(more) = answer.next().await? {
             text.extend(more);
@@ -144,7 +144,7 @@
 
 /// Calls, and has the answer's head.
 async fn call(address: SocketAddr, path: &str, close: bool, most: usize) -> io::Result<Answer> {
-    within(CALL, async {
+    with_timeout(CALL, async {
         let stream = Async::<TcpStream>::connect(address).await?;
         let close = if close { "Connection: close\r\n" } else { "" };
         let text = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n{close}\r\n");
@@ -177,7 +177,7 @@
                 return Ok(part);
             }
             let decoder = &mut self.decoder;
-            if let Came::End = read_some(&self.stream, READ, |bytes| decoder.feed(bytes)).await? {
+            if let Received::End = read_some(&self.stream, READ, |bytes| decoder.feed(bytes)).await? {
                 return self.decoder.finish().ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -194,7 +194,7 @@
     let mut objects = Objects::new(MOST);
     loop {
         // Bytes alone are no sign of life: what drips without an end of a line is as silent as what is silent.
-        let parts = within(SILENT, async {
+        let parts = with_timeout(SILENT, async {
             loop {
                 let Part::Body(bytes) = answer.next().await? else { return Ok(None) };
                 let parts = objects.feed(&bytes).map_err(unread)?;
@@ -228,7 +228,7 @@
     if !this.borrow().heeds(source) {
         return Err(bad("replaced"));
     }
-    Ok(turn(&this, |this| {
+    Ok(run_turn(&this, |this| {
         this.source = source;
         this.news(listing)
     }))
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -10,8 +10,8 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use quaypath_http::{error, response, Request, RequestDecoder, MOST_HEAD};
+use quaypath_initiator::event_loop::{read_some, run_turn, try_read, with_timeout, Driver, Notify, Received};
 use quaypath_initiator::polls::yield_if_spent;
-use quaypath_initiator::turns::{read_now, read_some, turn, within, Came, Notify, Turns};
 
 use crate::instance::{Permit, Shared, ShutdownStage, Weakly};
 use crate::READ;
@@ -62,10 +62,10 @@
     pub fn to(&mut self, next: ConnectionState, now: f64) {
         (self.state, self.since) = (next, now);
         if matches!(next, ConnectionState::Closing | ConnectionState::Evicted) {
-            self.close_request.tell();
+            self.close_request.notify();
         } else {
             // What a request has come before is not to be closed at the next wait.
-            self.close_request.forget();
+            self.close_request.clear();
         }
     }
 }
@@ -107,7 +107,7 @@
 impl Reply {
     pub fn give(&self, answer: Answer) {
         *self.answer.borrow_mut() = Some(answer);
-        self.told.tell();
+        self.told.notify();
     }
 
     async fn wait(&self) -> Answer {
@@ -255,8 +255,8 @@
     /// A last look before a close between two requests: false where bytes have come since the last one.
     fn nothing_came(&mut self) -> io::Result<bool> {
         let decoder = &mut self.decoder;
-        let came = read_now(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes))?;
-        if matches!(came, Some(Came::Bytes(()))) {
+        let came = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes))?;
+        if matches!(came, Some(Received::Bytes(()))) {
             self.arrived = self.instance()?.borrow().clock_now();
             return Ok(false);
         }
@@ -275,8 +275,8 @@
         let decoder = &mut self.decoder;
         let read = async {
             match read_some(&self.stream, READ, |bytes| decoder.feed(bytes)).await? {
-                Came::Bytes(()) => Ok(Went::More),
-                Came::End => Ok(Went::End),
+                Received::Bytes(()) => Ok(Went::More),
+                Received::End => Ok(Went::End),
             }
         };
         let asked = async {
@@ -302,7 +302,7 @@
         let this = self.instance()?;
         self.enter(ConnectionState::Busy)?;
         let wants_close = request.close;
-        let taken = turn(&this, |this| this.take(request, held, self.arrived));
+        let taken = run_turn(&this, |this| this.take(request, held, self.arrived));
         let (id, reply) = match taken {
             Ok(taken) => taken,
             Err((status, why)) => {
@@ -323,15 +323,15 @@
                     bytes.len() > room
                 };
                 match read_some(&stream, READ, keep).await {
-                    Ok(Came::Bytes(over)) => overrun |= over,
-                    Ok(Came::End) | Err(_) => return None,
+                    Ok(Received::Bytes(over)) => overrun |= over,
+                    Ok(Received::End) | Err(_) => return None,
                 }
             }
         };
         let answer = async { Some(reply.wait().await) }.or(gone).await;
         let this = self.instance()?;
         let Some(answer) = answer else {
-            turn(&this, |this| this.lapsed(id));
+            run_turn(&this, |this| this.lapsed(id));
             return Ok(false);
         };
         let stopping = this.borrow().stop > ShutdownStage::No;
@@ -340,7 +340,7 @@
         let ends = overrun
             || stopping && {
                 let decoder = &mut self.decoder;
-                let _ = read_now(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes));
+                let _ = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes));
                 !decoder.unfinished()
             };
         self.write(&answer.encode(wants_close || ends)).await?;
@@ -352,7 +352,7 @@
 
     async fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = &*self.stream;
-        within(WRITE, async { stream.write_all(bytes).await }).await
+        with_timeout(WRITE, async { stream.write_all(bytes).await }).await
     }
 
     /// An error for what cannot be read or is not fit, and the end of the connection.
@@ -390,13 +390,13 @@
     let rest = async {
         while left > 0 {
             match read_some(stream, READ, <[u8]>::len).await? {
-                Came::Bytes(count) => left = left.saturating_sub(count),
-                Came::End => break,
+                Received::Bytes(count) => left = left.saturating_sub(count),
+                Received::End => break,
             }
         }
         Ok(())
     };
-    within(LINGER, rest).await
+    with_timeout(LINGER, rest).await
 }
 
 /// Tells a client for whom there is no room that it may come again, in place of a close without a word.
@@ -407,5 +407,5 @@
         writer.write_all(&text).await?;
         linger(&stream).await
     };
-    let _ = within(TURNED_AWAY, told).await;
+    let _ = with_timeout(TURNED_AWAY, told).await;
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -15,10 +15,10 @@
 use quaypath::types::*;
 use quaypath_http::Request;
 use quaypath_initiator::core::{self, Action, Actions, Core};
+use quaypath_initiator::event_loop::{Driver, Notify};
 use quaypath_initiator::outcome::Progress;
 use quaypath_initiator::polls::{spawn, take_summary, Peer, PollSummary, TaskKind};
-use quaypath_initiator::turns::{Notify, Turns};
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::timer_wheel::TimerWheel;
 use quaypath_record::Clock;
 use tracing::{debug, info, warn};
 
@@ -143,14 +143,14 @@
 
     pub fn to(&self, next: Progress) {
         let mut progress = self.progress.get();
-        progress.to(next);
+        progress.advance_to(next);
         self.progress.set(progress);
     }
 
     fn end(&self, ended: Ended) {
         if self.ended.get().is_none() {
             self.ended.set(Some(ended));
-            self.told.tell();
+            self.told.notify();
         }
     }
 
@@ -193,7 +193,7 @@
     /// Nobody waits any more. A shot whose last byte has not left is no request yet, and must not become one: that
     /// needs no leave to cancel, as no node has begun it.
     fn call_off(&self) {
-        let unsent = self.shot.as_ref().filter(|shot| shot.progress() < Progress::Out);
+        let unsent = self.shot.as_ref().filter(|shot| shot.progress() < Progress::Sent);
         unsent.into_iter().for_each(|shot| shot.end(Ended::CalledOff));
     }
 }
@@ -271,7 +271,7 @@
     events: VecDeque<Happened>,
     clock: Clock,
     pub now: f64,
-    timers: Wheel<Timer>,
+    timers: TimerWheel<Timer>,
     wake: Rc<Notify>,
     open: BTreeMap<u64, Open>,
     next_id: u64,
@@ -305,7 +305,7 @@
     me: Weakly,
 }
 
-impl Turns for Instance {
+impl Driver for Instance {
     fn begin_turn(&mut self) {
         self.now = self.clock.now().max(self.now);
     }
@@ -324,19 +324,19 @@
     }
 
     fn next_timer(&self) -> Option<f64> {
-        self.timers.next_at()
+        self.timers.next_expiry()
     }
 
-    fn wake(&self) -> Rc<Notify> {
+    fn timer_changed(&self) -> Rc<Notify> {
         self.wake.clone()
     }
 
-    fn ring(&mut self) {
-        let late = self.timers.next_at().filter(|at| at.is_finite()).map_or(0.0, |at| self.now - at);
+    fn fire_timers(&mut self) {
+        let late = self.timers.next_expiry().filter(|at| at.is_finite()).map_or(0.0, |at| self.now - at);
         self.counts.stalls += u64::from(late > STALL);
         self.counts.lag = self.counts.lag.max(late);
         let mut due = Vec::new();
-        self.timers.ring(self.now, &mut due);
+        self.timers.advance(self.now, &mut due);
         for timer in due {
             match timer {
                 Timer::Core(tag) => self.events.push_back(Happened::Rang(tag)),
@@ -355,7 +355,7 @@
         let clock = Clock::default();
         let now = clock.now();
         let mut actions = Actions::default();
-        let core = core::of_settings(now, config.seed, config.core.clone(), &mut actions);
+        let core = core::scheduler_with_settings(now, config.seed, config.core.clone(), &mut actions);
         let share = |part: f64| ((config.limits.sockets - KEPT) as f64 * part) as usize;
         let memory = config.limits.memory_mb * 1e6;
         let instance = Rc::new(RefCell::new(Instance {
@@ -364,7 +364,7 @@
             events: VecDeque::new(),
             clock,
             now,
-            timers: Wheel::new(now),
+            timers: TimerWheel::new(now),
             wake: Rc::default(),
             open: BTreeMap::new(),
             next_id: 1,
@@ -464,11 +464,11 @@
             Action::Scrap(id) => self.counts.scrapped += u64::from(self.answer(id, Answer::Scrapped)),
             Action::Timer(after, tag) => self.timers.set(self.now + after.max(0.0), Timer::Core(tag)),
             // The watch is the driver's to keep up, asked for or not: the agent answers at once and at no cost.
-            Action::Call(_) => {}
+            Action::RegisterCall(_) => {}
             Action::Close(node) => {
                 self.nodes.get_mut(&node).into_iter().for_each(|node| node.pool.clear());
             }
-            Action::Unused(what) => debug!(what, "asked for by the core, and not carried out here"),
+            Action::Unsupported(what) => debug!(what, "asked for by the core, and not carried out here"),
         }
     }
 
@@ -570,7 +570,7 @@
             node,
             stop_at,
             sent_at: self.now,
-            progress: Cell::new(Progress::Opening),
+            progress: Cell::new(Progress::Connecting),
             ended: Cell::new(None),
             told: Notify::default(),
         });
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -24,8 +24,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
+use quaypath_initiator::event_loop::{accept_next, run_timers, run_turn, Notify};
 use quaypath_initiator::polls::{self, spawn, Peer, TaskKind};
-use quaypath_initiator::turns::{accepted, timers, turn, Notify};
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::{info, warn};
 
@@ -53,7 +53,7 @@
 const COMING: f64 = 0.5;
 /// What the last answers have for being written, seconds.
 const LAST_WRITES: f64 = 0.05;
-/// Turns that others have before the next client is let in where there are too many.
+/// Driver that others have before the next client is let in where there are too many.
 const YIELDS: usize = 4;
 const REPORT: Duration = Duration::from_secs(5);
 
@@ -77,7 +77,7 @@
     let instance = Instance::start(config, &executor);
     let weak = Rc::downgrade(&instance);
     info!(address = %listener.get_ref().local_addr()?, %discovery, "listening");
-    spawn(&executor, TaskKind::Timers, Peer::None, timers(weak.clone()));
+    spawn(&executor, TaskKind::Timers, Peer::None, run_timers(weak.clone()));
     let watch = discovery::watch_loop(weak.clone(), discovery, 0);
     spawn(&executor, TaskKind::Discovery, Peer::Address(discovery), watch);
     spawn(&executor, TaskKind::Report, Peer::None, report(weak.clone()));
@@ -97,16 +97,16 @@
 
 async fn accept(instance: Weakly, executor: Executor, listener: Async<TcpListener>) {
     loop {
-        let (stream, peer) = accepted(&listener).await;
+        let (stream, peer) = accept_next(&listener).await;
         let peer = Peer::Address(peer);
         let (Some(this), Some(executor)) = (instance.upgrade(), executor.upgrade()) else { return };
-        if let Some((number, close_request)) = turn(&this, Instance::opened) {
+        if let Some((number, close_request)) = run_turn(&this, Instance::opened) {
             let serve = front::serve(instance.clone(), number, close_request, stream);
             spawn(&executor, TaskKind::Client, peer, serve);
         } else if let Some(refusal) = this.borrow_mut().refusal() {
             spawn(&executor, TaskKind::TurnAway, peer, front::turn_away(stream, refusal));
         }
-        // The others have their turn, however many wait to be let in; and where there are too many those that make room
+        // The others have their run_turn, however many wait to be let in; and where there are too many those that make room
         // go first, so that a crowd in the backlog is not let in all at once.
         for _ in 0..YIELDS {
             yield_now().await;
@@ -159,7 +159,7 @@
                     Err(error) => warn!(%error, "the configuration cannot be read; the one of before stays"),
                 }
             }
-            Ok(Signal::Term) => term.tell(),
+            Ok(Signal::Term) => term.notify(),
             Ok(_) => {}
             Err(error) => warn!(%error, "a signal was lost"),
         }
@@ -175,11 +175,11 @@
     // Deadlines may be so short that some of this is due at once.
     let before_kill = |left: f64| Timer::at(began + Duration::from_secs_f64((notice - left).max(0.0)));
     before_kill(LEAVING).await;
-    turn(instance, |this| this.stop(ShutdownStage::Draining));
+    run_turn(instance, |this| this.stop(ShutdownStage::Draining));
     before_kill(CLOSING).await;
     let answered = async {
         loop {
-            turn(instance, |this| this.stop(ShutdownStage::ClosingIdle));
+            run_turn(instance, |this| this.stop(ShutdownStage::ClosingIdle));
             Timer::after(Duration::from_millis(5)).await;
             // What the reactor woke with us goes first: a connection that waited in the backlog among it.
             yield_now().await;
@@ -191,7 +191,7 @@
     };
     let ended = async {
         before_kill(END).await;
-        turn(instance, |this| this.stop(ShutdownStage::Terminating));
+        run_turn(instance, |this| this.stop(ShutdownStage::Terminating));
         Timer::after(Duration::from_secs_f64(LAST_WRITES)).await;
     };
     answered.or(ended).await;
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -24,7 +24,7 @@
 
 /// The table.
 pub fn outcome(ended: Ended, progress: Progress) -> Outcome {
-    let whole = progress == Progress::Out;
+    let whole = progress == Progress::Sent;
     match ended {
         Ended::Answered(200, _) if whole => Outcome::Settled,
         // Turned away: queue full, draining, too many connections, or over already. By the page it never ran.
@@ -54,23 +54,23 @@
     use test_case::test_case;
     use Progress::*;
 
-    #[test_case(Ended::Answered(200, false), Out, Outcome::Settled; "settled")]
-    #[test_case(Ended::Answered(200, false), Leaving, Outcome::Failed; "an answer before the request's end")]
-    #[test_case(Ended::Answered(500, false), Out, Outcome::Failed; "error")]
-    #[test_case(Ended::Answered(500, true), Out, Outcome::Failed; "only 503 and 504 promise that nothing ran")]
-    #[test_case(Ended::Answered(503, true), Out, Outcome::Full; "turned away")]
-    #[test_case(Ended::Answered(504, true), Out, Outcome::Full; "turned away as over")]
-    #[test_case(Ended::Answered(503, false), Out, Outcome::Failed; "503 without the word")]
-    #[test_case(Ended::Answered(204, false), Out, Outcome::Failed; "a success that is not the page's")]
-    #[test_case(Ended::Spoilt, Out, Outcome::Failed; "spoilt")]
-    #[test_case(Ended::TimeUp, Opening, Outcome::Moot; "time up while connecting")]
-    #[test_case(Ended::TimeUp, Leaving, Outcome::Moot; "time up half way")]
-    #[test_case(Ended::TimeUp, Out, Outcome::TimedOut; "time up")]
+    #[test_case(Ended::Answered(200, false), Sent, Outcome::Settled; "settled")]
+    #[test_case(Ended::Answered(200, false), PartlySent, Outcome::Failed; "an answer before the request's end")]
+    #[test_case(Ended::Answered(500, false), Sent, Outcome::Failed; "error")]
+    #[test_case(Ended::Answered(500, true), Sent, Outcome::Failed; "only 503 and 504 promise that nothing ran")]
+    #[test_case(Ended::Answered(503, true), Sent, Outcome::Full; "turned away")]
+    #[test_case(Ended::Answered(504, true), Sent, Outcome::Full; "turned away as over")]
+    #[test_case(Ended::Answered(503, false), Sent, Outcome::Failed; "503 without the word")]
+    #[test_case(Ended::Answered(204, false), Sent, Outcome::Failed; "a success that is not the page's")]
+    #[test_case(Ended::Spoilt, Sent, Outcome::Failed; "spoilt")]
+    #[test_case(Ended::TimeUp, Connecting, Outcome::Moot; "time up while connecting")]
+    #[test_case(Ended::TimeUp, PartlySent, Outcome::Moot; "time up half way")]
+    #[test_case(Ended::TimeUp, Sent, Outcome::TimedOut; "time up")]
     #[test_case(Ended::CalledOff, Queued, Outcome::Moot; "called off unsent")]
-    #[test_case(Ended::CalledOff, Out, Outcome::Cancelled; "called off")]
-    #[test_case(Ended::Lost, Opening, Outcome::Unreachable; "refused or never up")]
-    #[test_case(Ended::Lost, Leaving, Outcome::Unreachable; "broken before the last byte")]
-    #[test_case(Ended::Lost, Out, Outcome::Reset; "broken after the last byte")]
+    #[test_case(Ended::CalledOff, Sent, Outcome::Cancelled; "called off")]
+    #[test_case(Ended::Lost, Connecting, Outcome::Unreachable; "refused or never up")]
+    #[test_case(Ended::Lost, PartlySent, Outcome::Unreachable; "broken before the last byte")]
+    #[test_case(Ended::Lost, Sent, Outcome::Reset; "broken after the last byte")]
     fn table(ended: Ended, progress: Progress, expected: Outcome) {
         assert_eq!(outcome(ended, progress), expected);
     }
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -12,8 +12,8 @@
 use futures_lite::future::pending;
 use futures_lite::FutureExt;
 use quaypath_http::{Part, Refused, ResponseDecoder, ResponseHead};
+use quaypath_initiator::event_loop::{read_some, run_turn, unread_bytes, with_timeout, Driver, Received};
 use quaypath_initiator::outcome::Progress;
-use quaypath_initiator::turns::{read_some, turn, unread, within, Came, Turns};
 
 use crate::decode::{self, Told};
 use crate::front::Answer;
@@ -173,7 +173,7 @@
             this.upstream_connections.clone(),
         )
     };
-    let stream = within(wait, fresh).await;
+    let stream = with_timeout(wait, fresh).await;
     let this = instance.upgrade()?;
     let mut this = this.borrow_mut();
     match stream {
@@ -197,8 +197,8 @@
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(count) => {
                 sent += count;
-                if shot.progress() < Progress::Leaving {
-                    shot.to(Progress::Leaving);
+                if shot.progress() < Progress::PartlySent {
+                    shot.to(Progress::PartlySent);
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => upstream.stream.writable().await?,
@@ -206,7 +206,7 @@
             Err(error) => return Err(error),
         }
     }
-    shot.to(Progress::Out);
+    shot.to(Progress::Sent);
     Ok(())
 }
 
@@ -220,8 +220,9 @@
     let bytes = {
         let Some(this) = instance.upgrade() else { return Ended::Lost };
         // The node may have been listed as draining, gone, moved or started anew while its connection came up.
-        let (now, shut, life) =
-            turn(&this, |this| (this.now, this.shut(&shot.node), this.nodes.get(&shot.node).map(Node::life)));
+        let (now, shut, life) = run_turn(&this, |this| {
+            (this.now, this.shut(&shot.node), this.nodes.get(&shot.node).map(Node::life))
+        });
         if shut || life != Some(upstream.life) {
             return Ended::Lost;
         }
@@ -238,11 +239,11 @@
     let reading = async {
         loop {
             match read_some(&upstream.stream, READ, |bytes| incoming.take(bytes)).await {
-                Ok(Came::Bytes(Ok(false))) => {}
-                Ok(Came::Bytes(Ok(true))) => return answered(incoming),
-                Ok(Came::Bytes(Err(_))) => return Ended::Spoilt,
-                Ok(Came::End) if incoming.finish() => return answered(incoming),
-                Ok(Came::End) | Err(_) => return Ended::Lost,
+                Ok(Received::Bytes(Ok(false))) => {}
+                Ok(Received::Bytes(Ok(true))) => return answered(incoming),
+                Ok(Received::Bytes(Err(_))) => return Ended::Spoilt,
+                Ok(Received::End) if incoming.finish() => return answered(incoming),
+                Ok(Received::End) | Err(_) => return Ended::Lost,
             }
         }
     };
@@ -258,12 +259,12 @@
 /// then on is late, and a node that sends without end must not keep the loop, so it ends with the bytes that the kernel
 /// held at that moment; their number is the socket's buffer at most, and others have their turns between the reads.
 async fn last_look(upstream: &UpstreamConnection, incoming: &mut Incoming) -> Option<Ended> {
-    let mut left = unread(upstream.stream.get_ref()).ok()?;
+    let mut left = unread_bytes(upstream.stream.get_ref()).ok()?;
     while left > 0 {
         let take = |bytes: &[u8]| (bytes.len(), incoming.take(bytes));
         match read_some(&upstream.stream, READ.min(left), take).await {
-            Ok(Came::Bytes((_, Ok(true)))) => return Some(answered(incoming)),
-            Ok(Came::Bytes((count, Ok(false)))) => left -= count,
+            Ok(Received::Bytes((_, Ok(true)))) => return Some(answered(incoming)),
+            Ok(Received::Bytes((count, Ok(false)))) => left -= count,
             _ => return None,
         }
     }
@@ -274,7 +275,7 @@
 /// The last look, for as long as that may hold up the final answer.
 async fn looked(upstream: Option<&UpstreamConnection>, incoming: &mut Incoming) -> Option<Ended> {
     let upstream = upstream?;
-    within(LAST_LOOK, async { Ok(last_look(upstream, incoming).await) }).await.ok().flatten()
+    with_timeout(LAST_LOOK, async { Ok(last_look(upstream, incoming).await) }).await.ok().flatten()
 }
 
 /// The task of one shot.
@@ -285,14 +286,14 @@
     let mut used = None;
     // What ends it from this side goes first: nothing is begun for a client that has gone by now.
     let mut ended = shot.ended().or(fly(&instance, &shot, &message, &mut used, &mut incoming)).await;
-    if ended == Ended::TimeUp && shot.progress() == Progress::Out {
+    if ended == Ended::TimeUp && shot.progress() == Progress::Sent {
         ended = looked(used.as_ref(), &mut incoming).await.unwrap_or(ended);
     }
     let Some(this) = instance.upgrade() else { return };
     let rested = used.as_ref().and_then(|upstream| upstream.rest);
     let lost = ended == Ended::Lost && incoming.head.is_none();
     // Closed, or back in the pool, before the core may send again.
-    let whole = matches!(ended, Ended::Answered(..)) && shot.progress() == Progress::Out;
+    let whole = matches!(ended, Ended::Answered(..)) && shot.progress() == Progress::Sent;
     let upstream = used.take().filter(|_| whole && incoming.reusable());
     let (told, answer) = match incoming.head.take().filter(|_| incoming.whole) {
         Some(head) => {
@@ -302,7 +303,7 @@
         }
         None => (Told::default(), None),
     };
-    turn(&this, |this| {
+    run_turn(&this, |this| {
         let now = this.now;
         rested.into_iter().for_each(|rest| this.idle_reuse.note(now, rest, lost));
         let shut = this.shut(&shot.node);
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -15,7 +15,7 @@
 use quaypath_fleet::lend::{gone, Safeguard};
 use quaypath_fleet::signal::{self, Manner};
 use quaypath_fleet::{message, MemberId};
-use quaypath_initiator::fleet::{self, Skew, Spoken};
+use quaypath_initiator::fleet::{self, SignalControl, SkewedClock};
 use quaypath_initiator::{core, run, Options};
 use quaypath_platform::Config;
 use quaypath_programs::{exit, say, Logs};
@@ -99,7 +99,7 @@
 
 /// A line of a day's script on standard input: `disk SECONDS` for which it takes nothing, `clock RATE STEP` of this
 /// process, `signals MANNER` to other initiators.
-fn scripted(line: &str, skew: &Skew, spoken: &Spoken) -> Result<(), String> {
+fn scripted(line: &str, skew: &SkewedClock, spoken: &SignalControl) -> Result<(), String> {
     let number = |word: &str, most: f64| {
         let number = word.parse::<f64>().ok().filter(|number| (0.0..=most).contains(number));
         number.ok_or(format!("'{word}' is not a number from 0 to {most}"))
@@ -122,7 +122,7 @@
 }
 
 /// Done when standard input ends; read on a thread, as it may be a file or a terminal. Its lines are a day's script.
-async fn stdin_ends(skew: Skew, spoken: Spoken) {
+async fn stdin_ends(skew: SkewedClock, spoken: SignalControl) {
     let (ours, theirs) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
@@ -214,11 +214,11 @@
         },
         seed,
         name: format!("nqn.2026-12.example.quaypath:initiator:{number}"),
-        patience: deployment.connections.connect,
-        plain: arguments.careless,
-        skew: Skew::default(),
+        probe_timeout: deployment.connections.connect,
+        baseline: arguments.careless,
+        skewed_clock: SkewedClock::default(),
         signals: signals(arguments, of, seed),
-        manner: Spoken::default(),
+        manner: SignalControl::default(),
     })
 }
 
@@ -258,8 +258,8 @@
         deployment: Rc::new(deployment),
         number: arguments.number,
         seed,
-        list,
-        core: if arguments.careless { core::careless } else { core::brain },
+        list_path: list,
+        core_factory: if arguments.careless { core::baseline } else { core::scheduler },
         fleet,
     };
     say!("listening {address}");
@@ -269,8 +269,8 @@
     }
     let _ = std::io::stdout().flush();
     let until = arguments.until_stdin_closes;
-    let skew = options.fleet.as_ref().map_or_else(Skew::default, |fleet| fleet.skew.clone());
-    let spoken = options.fleet.as_ref().map_or_else(Spoken::default, |fleet| fleet.manner.clone());
+    let skew = options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
+    let spoken = options.fleet.as_ref().map_or_else(SignalControl::default, |fleet| fleet.manner.clone());
     let mut terms = match &options.fleet {
         Some(_) => Some(Signals::new([Signal::Term]).map_err(|error| format!("SIGTERM: {error}"))?),
         None => None,
--- a/crates/programs/src/bin/nvme.rs
+++ b/crates/programs/src/bin/nvme.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use quaypath_initiator::queue::{ask, open_admin, open_queue, Queue};
-use quaypath_initiator::register::DISCOVERY;
-use quaypath_initiator::turns::within;
+use quaypath_initiator::event_loop::with_timeout;
+use quaypath_initiator::queue::{open_admin_queue, open_io_queue, submit_and_wait, Queue};
+use quaypath_initiator::register::DISCOVERY_NQN;
 use quaypath_nvme::admin::{
     access_groups, ana, discovery_header, discovery_record, get_log, identify, log, namespace_list,
     namespace_size, property, property_get, property_set, CC_SHUT_DOWN,
@@ -150,7 +150,7 @@
 
 impl Client {
     fn run<R>(&self, done: impl std::future::Future<Output = std::io::Result<R>>) -> Result<R, String> {
-        async_io::block_on(within(self.wait.clamp(0.01, 3600.0), done)).map_err(|error| {
+        async_io::block_on(with_timeout(self.wait.clamp(0.01, 3600.0), done)).map_err(|error| {
             let hint = match error.kind() {
                 std::io::ErrorKind::ConnectionRefused => "; nothing listens there",
                 std::io::ErrorKind::TimedOut => {
@@ -166,18 +166,18 @@
     }
 
     fn admin(&self, subsystem: &str, queues: u16) -> Result<(Queue, Enable), String> {
-        self.run(open_admin(self.address, subsystem, &self.host, self.offer, queues, false))
+        self.run(open_admin_queue(self.address, subsystem, &self.host, self.offer, queues, false))
     }
 
     fn ask(&self, what: &str, queue: &mut Queue, sqe: Sqe) -> Result<(Cqe, Vec<u8>), String> {
         let expected = admin::brings(&sqe);
-        good(what, self.run(ask(queue, sqe, Vec::new(), expected, &mut Vec::new()))?)
+        good(what, self.run(submit_and_wait(queue, sqe, Vec::new(), expected, &mut Vec::new()))?)
     }
 
     /// One I/O command on a queue of its own.
     fn io(&self, what: &str, sqe: Sqe, data: Vec<u8>, expected: usize) -> Result<(Cqe, Vec<u8>), String> {
         let (admin, enable) = self.admin("nqn.2026-12.example.quaypath:gateway", 1)?;
-        let opening = open_queue(
+        let opening = open_io_queue(
             self.address,
             1,
             enable.controller,
@@ -186,14 +186,14 @@
             self.offer,
         );
         let mut queue = self.run(opening)?;
-        let answer = self.run(ask(&mut queue, sqe, data, expected, &mut Vec::new()))?;
+        let answer = self.run(submit_and_wait(&mut queue, sqe, data, expected, &mut Vec::new()))?;
         drop(admin);
         good(what, answer)
     }
 }
 
 fn discover(client: &Client) -> Result<bool, String> {
-    let (mut queue, _) = client.admin(DISCOVERY, 0)?;
+    let (mut queue, _) = client.admin(DISCOVERY_NQN, 0)?;
     let (_, head) = client.ask("discovery log", &mut queue, get_log(log::DISCOVERY, 0, 1024, true))?;
     let (generation, count) = discovery_header(&head).ok_or("the discovery log has no header")?;
     let count =
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -10,10 +10,10 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use quaypath_initiator::face::SUBSYSTEM;
-use quaypath_initiator::queue::{open_admin, open_queue};
-use quaypath_initiator::turns::{within, Notify};
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::event_loop::{with_timeout, Notify};
+use quaypath_initiator::queue::{open_admin_queue, open_io_queue};
+use quaypath_initiator::subsystem::SUBSYSTEM_NQN;
+use quaypath_initiator::timer_wheel::TimerWheel;
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::status;
@@ -89,7 +89,7 @@
         let running = Running::start("clients", move |executor| {
             let state = State {
                 chance: SmallRng::seed_from_u64(options.seed),
-                timers: Wheel::new(record.clock.now()),
+                timers: TimerWheel::new(record.clock.now()),
                 record,
                 tally: shared,
                 queues: HashMap::new(),
@@ -136,7 +136,7 @@
     options: Options,
     record: Writer,
     chance: SmallRng,
-    timers: Wheel<Due>,
+    timers: TimerWheel<Due>,
     tally: Arc<Mutex<Tally>>,
     /// By gateway and queue (0: admin).
     queues: HashMap<(u32, u16), Queue>,
@@ -161,11 +161,11 @@
     let host = format!("nqn.2026-12.example.quaypath:client:{gateway}");
     let offer = Offer::default();
     let opening = async {
-        let (admin, enable) = open_admin(address, SUBSYSTEM, &host, offer, 1, false).await?;
-        let io = open_queue(address, 1, enable.controller, SUBSYSTEM, &host, offer).await?;
+        let (admin, enable) = open_admin_queue(address, SUBSYSTEM_NQN, &host, offer, 1, false).await?;
+        let io = open_io_queue(address, 1, enable.controller, SUBSYSTEM_NQN, &host, offer).await?;
         Ok([admin, io])
     };
-    let opened: io::Result<_> = within(2.0, opening).await;
+    let opened: io::Result<_> = with_timeout(2.0, opening).await;
     let mut streams = Vec::new();
     for (number, (machine, stream)) in (0..).zip(opened?) {
         streams.push(stream.clone());
@@ -198,7 +198,7 @@
     fn run(&mut self) -> f64 {
         let now = self.record.clock.now();
         let mut due = Vec::new();
-        self.timers.ring(now, &mut due);
+        self.timers.advance(now, &mut due);
         for what in due {
             match what {
                 Due::Again(operation, ask, tries) => self.ask(operation, ask, tries),
@@ -215,7 +215,7 @@
         let mut tally = self.tally.lock().unwrap();
         tally.open = self.open.len() as u64;
         tally.done = next.is_none() && self.open.is_empty() && self.timers.is_empty();
-        next.unwrap_or(f64::INFINITY).min(self.timers.next_at().unwrap_or(f64::INFINITY))
+        next.unwrap_or(f64::INFINITY).min(self.timers.next_expiry().unwrap_or(f64::INFINITY))
     }
 
     fn ask(&mut self, operation: u64, at: usize, tries: u32) {
@@ -265,7 +265,7 @@
         if tries < own.map_or(self.options.retries, |(retries, _)| retries).min(255) {
             let wait = wait * self.chance.random_range(0.8..1.2);
             self.timers.set(self.record.clock.now() + wait, Due::Again(operation, at, tries + 1));
-            self.wake.tell();
+            self.wake.notify();
         }
     }
 
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -15,7 +15,7 @@
 
 use async_io::{Async, Timer};
 use quaypath::types::Condition;
-use quaypath_initiator::list::Entry;
+use quaypath_initiator::node_list::NodeEntry;
 use quaypath_nvme::admin::{ana, log, Do, Group, Kind, Notice, Record, View};
 use quaypath_nvme::association::Associations;
 use quaypath_nvme::command::{opcode, Cqe, Sqe};
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 struct Change {
     shows_at: f64,
-    entry: Entry,
+    entry: NodeEntry,
     started_at: f64,
     port: u16,
 }
@@ -131,7 +131,7 @@
             (None, Some(known)) => known,
             (None, None) => (0.0, 0, None),
         };
-        let entry = Entry { node: node.clone(), zone, block, condition, age, start };
+        let entry = NodeEntry { node: node.clone(), zone, block, condition, age, start };
         let at = book.changes.partition_point(|change| change.shows_at <= shows_at);
         book.changes.insert(at, Change { shows_at, entry, started_at, port });
         self.record.put(Line::Lists { t: shows_at, node, condition: listed(condition) });
@@ -210,7 +210,7 @@
         Kind::Discovery
     }
     fn subsystem(&self) -> &str {
-        quaypath_initiator::register::DISCOVERY
+        quaypath_initiator::register::DISCOVERY_NQN
     }
     fn groups(&self) -> Vec<Group> {
         let state = |change: &Change| match change.entry.condition {
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use quaypath_initiator::turns::Notify;
+use quaypath_initiator::event_loop::Notify;
 use quaypath_nvme::admin::{ana, Do, Group, Kind, View};
 use quaypath_nvme::association::Associations;
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe, Told};
@@ -444,7 +444,7 @@
         match self.node.take(now, job) {
             (Taken::Held, job) => {
                 self.connections.get_mut(&number).unwrap().jobs.insert(sqe.cid, job);
-                self.wake.tell();
+                self.wake.notify();
             }
             (Taken::Full, _) => {
                 self.ended(gateway, &marks, ShotEnd::Refused);
