--- a/crates/load/src/net.rs
+++ b/crates/load/src/net.rs
@@ -12,13 +12,13 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use quaypath_initiator::face::SUBSYSTEM;
-use quaypath_initiator::queue::{open_admin, open_queue};
-use quaypath_initiator::turns::{within, Notify};
+use quaypath_initiator::event_loop::{with_timeout, Notify};
+use quaypath_initiator::queue::{open_admin_queue, open_io_queue};
+use quaypath_initiator::subsystem::SUBSYSTEM_NQN;
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::{status, QUEUE_SIZE};
-use quaypath_record::{Clock, End, Event as Line, Writer};
+use quaypath_record::{Clock, Event as Line, TransactionEnd, Writer};
 use quaypath_standins::serve::{read_all, Output};
 
 use crate::account::Cell;
@@ -110,14 +110,15 @@
     let host = format!("nqn.2026-12.example.quaypath:load:{part}");
     let offer = Offer::default();
     let opening = async {
-        let (admin, enable) = open_admin(address, SUBSYSTEM, &host, offer, wanted, false).await?;
+        let (admin, enable) = open_admin_queue(address, SUBSYSTEM_NQN, &host, offer, wanted, false).await?;
         let mut queues = vec![admin];
         for number in 1..=enable.queues.min(wanted).max(1) {
-            queues.push(open_queue(address, number, enable.controller, SUBSYSTEM, &host, offer).await?);
+            queues
+                .push(open_io_queue(address, number, enable.controller, SUBSYSTEM_NQN, &host, offer).await?);
         }
         Ok(queues)
     };
-    let opened: io::Result<_> = within(CONNECT, opening).await;
+    let opened: io::Result<_> = with_timeout(CONNECT, opening).await;
     let mut streams = Vec::new();
     {
         let mut this = state.borrow_mut();
@@ -195,7 +196,7 @@
     (generator, stopped)
 }
 
-/// Turns the generator whenever it wants it. False: nobody stopped it.
+/// Driver the generator whenever it wants it. False: nobody stopped it.
 async fn drive<S: Source>(state: Shared<S>, last: f64) -> bool {
     loop {
         let (wait, wake) = {
@@ -279,7 +280,7 @@
         let (data, expected) = if writes { (vec![0x5a; length], 0) } else { (Vec::new(), length) };
         if let Some(record) = &self.options.record {
             let key = u64::from(arrival.volume) << 32 | u64::from(arrival.key);
-            record.put(Line::Ask {
+            record.put(Line::CommandSent {
                 t: now,
                 gateway: peer as u32,
                 mark,
@@ -319,7 +320,7 @@
             });
         let Some((number, cid)) = found else { return };
         if let Some(record) = &self.options.record {
-            record.put(Line::Left { t: self.options.clock.now(), mark });
+            record.put(Line::ClientCancelled { t: self.options.clock.now(), mark });
         }
         if let Some(admin) = self.peers[peer].queues.first_mut() {
             if let Some((_, mut bytes)) =
@@ -347,7 +348,7 @@
         self.line(peer);
         self.flush();
         if self.generator.next_at() < self.sleeps {
-            self.wake.tell();
+            self.wake.notify();
         }
         good
     }
@@ -366,11 +367,11 @@
         };
         if let (Some(record), false) = (&self.options.record, answer == Answer::Aborted) {
             let end = match answer {
-                Answer::Settled => End::Settled,
-                Answer::Declined(_) => End::Declined,
-                _ => End::Scrapped,
+                Answer::Settled => TransactionEnd::Settled,
+                Answer::Declined(_) => TransactionEnd::Declined,
+                _ => TransactionEnd::Scrapped,
             };
-            record.put(Line::Final { t: now, gateway: peer as u32, mark, end });
+            record.put(Line::FinalAnswer { t: now, gateway: peer as u32, mark, end });
         }
         self.generator.answered(now, mark, answer);
     }
@@ -382,13 +383,13 @@
             let _ = queue.stream.get_ref().shutdown(std::net::Shutdown::Both);
             for mark in queue.asked.into_iter().filter(|mark| *mark != 0) {
                 if let Some(record) = &self.options.record {
-                    record.put(Line::Cut { t: now, gateway: peer as u32, mark });
+                    record.put(Line::ClientConnectionLost { t: now, gateway: peer as u32, mark });
                 }
                 self.generator.cut(now, mark);
             }
         }
         if self.generator.next_at() < self.sleeps {
-            self.wake.tell();
+            self.wake.notify();
         }
     }
 
