--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -11,9 +11,9 @@
 use async_io::Async;
 use futures_lite::future::pending;
 use futures_lite::FutureExt;
-use quaypath_http::{Part, Refused, ResponseDecoder, ResponseHead};
+use quaypath_http::{DecodeError, ResponseDecoder, ResponseHead, ResponsePart};
+use quaypath_initiator::event_loop::{read_some, run_turn, unread_bytes, with_timeout, Driver, Received};
 use quaypath_initiator::outcome::Progress;
-use quaypath_initiator::turns::{read_some, turn, unread, within, Came, Turns};
 
 use crate::decode::{self, Told};
 use crate::front::Answer;
@@ -22,7 +22,7 @@
 use crate::outcome::Ended;
 use crate::READ;
 
-/// Part of the node's idle time after which we close first.
+/// ResponsePart of the node's idle time after which we close first.
 const IDLE_PART: f64 = 0.8;
 
 /// What is still read of an answer once its time is up takes so long at most, seconds: a final answer counts as lost half
@@ -124,14 +124,16 @@
 
 impl Incoming {
     /// Takes what has come; true once the answer is whole.
-    fn take(&mut self, bytes: &[u8]) -> Result<bool, Refused> {
+    fn take(&mut self, bytes: &[u8]) -> Result<bool, DecodeError> {
         self.decoder.feed(bytes);
         while let Some(part) = self.decoder.poll()? {
             match part {
-                Part::Head(head) => self.head = Some(head),
-                Part::Body(more) if self.held.grow(more.len()) => self.body.extend_from_slice(&more),
-                Part::Body(_) => return Err(Refused { status: 502, why: "no room for the answer" }),
-                Part::End => self.whole = true,
+                ResponsePart::Head(head) => self.head = Some(head),
+                ResponsePart::Body(more) if self.held.grow(more.len()) => self.body.extend_from_slice(&more),
+                ResponsePart::Body(_) => {
+                    return Err(DecodeError { status: 502, reason: "no room for the answer" })
+                }
+                ResponsePart::End => self.whole = true,
             }
         }
         Ok(self.whole)
@@ -145,7 +147,7 @@
 
     /// Whether the connection can be used once more.
     fn reusable(&self) -> bool {
-        self.whole && self.decoder.behind() == 0 && self.head.as_ref().is_some_and(|head| !head.close)
+        self.whole && self.decoder.trailing_bytes() == 0 && self.head.as_ref().is_some_and(|head| !head.close)
     }
 }
 
@@ -173,7 +175,7 @@
             this.upstream_connections.clone(),
         )
     };
-    let stream = within(wait, fresh).await;
+    let stream = with_timeout(wait, fresh).await;
     let this = instance.upgrade()?;
     let mut this = this.borrow_mut();
     match stream {
@@ -197,8 +199,8 @@
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(count) => {
                 sent += count;
-                if shot.progress() < Progress::Leaving {
-                    shot.to(Progress::Leaving);
+                if shot.progress() < Progress::PartlySent {
+                    shot.to(Progress::PartlySent);
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => upstream.stream.writable().await?,
@@ -206,7 +208,7 @@
             Err(error) => return Err(error),
         }
     }
-    shot.to(Progress::Out);
+    shot.to(Progress::Sent);
     Ok(())
 }
 
@@ -220,8 +222,9 @@
     let bytes = {
         let Some(this) = instance.upgrade() else { return Ended::Lost };
         // The node may have been listed as draining, gone, moved or started anew while its connection came up.
-        let (now, shut, life) =
-            turn(&this, |this| (this.now, this.shut(&shot.node), this.nodes.get(&shot.node).map(Node::life)));
+        let (now, shut, life) = run_turn(&this, |this| {
+            (this.now, this.shut(&shot.node), this.nodes.get(&shot.node).map(Node::life))
+        });
         if shut || life != Some(upstream.life) {
             return Ended::Lost;
         }
@@ -238,11 +241,11 @@
     let reading = async {
         loop {
             match read_some(&upstream.stream, READ, |bytes| incoming.take(bytes)).await {
-                Ok(Came::Bytes(Ok(false))) => {}
-                Ok(Came::Bytes(Ok(true))) => return answered(incoming),
-                Ok(Came::Bytes(Err(_))) => return Ended::Spoilt,
-                Ok(Came::End) if incoming.finish() => return answered(incoming),
-                Ok(Came::End) | Err(_) => return Ended::Lost,
+                Ok(Received::Bytes(Ok(false))) => {}
+                Ok(Received::Bytes(Ok(true))) => return answered(incoming),
+                Ok(Received::Bytes(Err(_))) => return Ended::Spoilt,
+                Ok(Received::End) if incoming.finish() => return answered(incoming),
+                Ok(Received::End) | Err(_) => return Ended::Lost,
             }
         }
     };
@@ -251,19 +254,19 @@
 
 fn answered(incoming: &Incoming) -> Ended {
     let Some(head) = &incoming.head else { return Ended::Spoilt };
-    Ended::Answered(head.status, head.headers.one("x-not-processed") == Some("1"))
+    Ended::Answered(head.status, head.headers.single("x-not-processed") == Some("1"))
 }
 
 /// Reads what had come and was not read yet when the time was up: a standstill of ours is not the node's. What comes from
 /// then on is late, and a node that sends without end must not keep the loop, so it ends with the bytes that the kernel
 /// held at that moment; their number is the socket's buffer at most, and others have their turns between the reads.
 async fn last_look(upstream: &UpstreamConnection, incoming: &mut Incoming) -> Option<Ended> {
-    let mut left = unread(upstream.stream.get_ref()).ok()?;
+    let mut left = unread_bytes(upstream.stream.get_ref()).ok()?;
     while left > 0 {
         let take = |bytes: &[u8]| (bytes.len(), incoming.take(bytes));
         match read_some(&upstream.stream, READ.min(left), take).await {
-            Ok(Came::Bytes((_, Ok(true)))) => return Some(answered(incoming)),
-            Ok(Came::Bytes((count, Ok(false)))) => left -= count,
+            Ok(Received::Bytes((_, Ok(true)))) => return Some(answered(incoming)),
+            Ok(Received::Bytes((count, Ok(false)))) => left -= count,
             _ => return None,
         }
     }
@@ -274,7 +277,7 @@
 /// The last look, for as long as that may hold up the final answer.
 async fn looked(upstream: Option<&UpstreamConnection>, incoming: &mut Incoming) -> Option<Ended> {
     let upstream = upstream?;
-    within(LAST_LOOK, async { Ok(last_look(upstream, incoming).await) }).await.ok().flatten()
+    with_timeout(LAST_LOOK, async { Ok(last_look(upstream, incoming).await) }).await.ok().flatten()
 }
 
 /// The task of one shot.
@@ -285,24 +288,24 @@
     let mut used = None;
     // What ends it from this side goes first: nothing is begun for a client that has gone by now.
     let mut ended = shot.ended().or(fly(&instance, &shot, &message, &mut used, &mut incoming)).await;
-    if ended == Ended::TimeUp && shot.progress() == Progress::Out {
+    if ended == Ended::TimeUp && shot.progress() == Progress::Sent {
         ended = looked(used.as_ref(), &mut incoming).await.unwrap_or(ended);
     }
     let Some(this) = instance.upgrade() else { return };
     let rested = used.as_ref().and_then(|upstream| upstream.rest);
     let lost = ended == Ended::Lost && incoming.head.is_none();
     // Closed, or back in the pool, before the core may send again.
-    let whole = matches!(ended, Ended::Answered(..)) && shot.progress() == Progress::Out;
+    let whole = matches!(ended, Ended::Answered(..)) && shot.progress() == Progress::Sent;
     let upstream = used.take().filter(|_| whole && incoming.reusable());
     let (told, answer) = match incoming.head.take().filter(|_| incoming.whole) {
         Some(head) => {
             let told = decode::told(&head.headers, &this.borrow().config.waits.load);
-            let kind = head.headers.one("content-type").map(String::from);
+            let kind = head.headers.single("content-type").map(String::from);
             (told, Some(Answer::Settled(kind, std::mem::take(&mut incoming.body), incoming.held)))
         }
         None => (Told::default(), None),
     };
-    turn(&this, |this| {
+    run_turn(&this, |this| {
         let now = this.now;
         rested.into_iter().for_each(|rest| this.idle_reuse.note(now, rest, lost));
         let shut = this.shut(&shot.node);
