--- a/crates/rules/src/fleet.rs
+++ b/crates/rules/src/fleet.rs
@@ -1,7 +1,9 @@
-//! The promises of the fleet, judged from what targets, links and the day's runner saw. Shares no code with the cores.
+//! Judges the promises of the fleet from what nodes, links and the runner of a test day recorded. It shares no code with
+//! the cores.
 //!
-//! What a fault excuses is told in each promise: a fault that touches a process or a link excuses what is held of it
-//! until [`Parameters::settle_time`] after its end, and a cut lets both sides do a duty until [`Parameters::window`] after it heals.
+//! Each promise states what a fault excuses: a fault of a process or a link excuses wrong views of that process until
+//! [`Parameters::settle_time`] after its end, and a cut lets members on both sides do one duty until
+//! [`Parameters::window`] after it has ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,41 +11,43 @@
 use quaypath_record::Event;
 use serde::Serialize;
 
-/// The figures of the promises. Times in seconds.
+/// Parameters of the promises. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Parameters {
-    /// How often each duty is to be done.
+    /// Time from one run of a duty to its next.
     pub duty_period: f64,
-    /// How long two may both do a duty.
+    /// How long two members may both do one duty.
     pub window: f64,
-    /// Within this of the last fault anywhere in the fleet each duty is done again, whatever became of who did it.
+    /// Each duty is done again within this time of the last fault anywhere in the fleet, also if the member that did
+    /// it has failed.
     pub done_within: f64,
-    /// In any case within this, however many faults follow each other.
+    /// Each duty is done again within this time, however many faults follow each other.
     pub done_at_worst: f64,
-    /// After this, what members hold of each other is so.
+    /// Time after a fault by which members hold correct views of each other.
     pub settle_time: f64,
-    /// Most that a process sends, bytes a second, and its longest datagram.
+    /// Most that one process sends, bytes per second.
     pub max_bytes_per_second: f64,
+    /// Longest datagram that one process sends, bytes.
     pub longest_datagram: u64,
-    /// How far apart two programs' times of one moment may lie.
+    /// Largest difference between the times that two programs record for the same moment.
     pub transit: f64,
 }
 
-/// What the fleet promises, in the order of [`Promise::ALL`].
+/// The promises of the fleet, in the order of [`Promise::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Promise {
-    /// No duty is done by two for longer than the window.
+    /// No two members do one duty for longer than the window.
     OneDoer,
     /// Each duty is done in time.
     Done,
-    /// Nobody who lives and can be reached is held dead for longer than the bound.
+    /// No member that runs and can be reached is held dead for longer than the settle time.
     LiveHeldLive,
-    /// Nobody who is dead is held alive for longer than the bound.
+    /// No dead member is held alive for longer than the settle time.
     DeadHeldDead,
-    /// Of two processes under one number one falls silent.
+    /// Of two processes under one gateway number, one stops sending.
     OneName,
-    /// A process sends no more than its bound, in no longer datagrams.
+    /// A process sends at most its maximum of bytes per second, in datagrams of at most the maximum length.
     Traffic,
 }
 
@@ -57,6 +61,7 @@
         Promise::Traffic,
     ];
 
+    /// Name of the promise in reports.
     pub fn name(self) -> &'static str {
         match self {
             Promise::OneDoer => "one-doer",
@@ -69,9 +74,11 @@
     }
 }
 
+/// A promise that was broken.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
     pub promise: Promise,
+    /// Time, seconds on the clock of the record.
     pub t: f64,
     #[serde(rename = "what")]
     pub description: String,
@@ -83,278 +90,298 @@
     }
 }
 
-/// Loss and delay of links up to which every promise holds while they last.
-const BORNE_LOSS: f64 = 0.35;
-const BORNE_DELAY: f64 = 0.1;
+/// Part of the datagrams that a link may lose while every promise still holds.
+const MAX_TOLERATED_LOSS: f64 = 0.35;
+/// Delay of a link, in seconds, under which every promise still holds.
+const MAX_TOLERATED_DELAY: f64 = 0.1;
 
+/// What is known of the processes under one gateway number.
 #[derive(Default)]
-struct Life {
-    /// Spans in which a process of this number ran.
-    up: Vec<(f64, f64)>,
-    /// Spans in which a fault touched it; a start and a kill are spans of no length.
-    touched: Vec<(f64, f64)>,
+struct MemberHistory {
+    /// Spans in which a process ran.
+    running: Vec<(f64, f64)>,
+    /// Spans in which a fault affected it; a start and a kill are spans of zero length.
+    faults: Vec<(f64, f64)>,
 }
 
-impl Life {
-    fn up_at(&self, t: f64) -> bool {
-        self.up.iter().any(|(from, to)| (*from..*to).contains(&t))
+impl MemberHistory {
+    fn running_at(&self, t: f64) -> bool {
+        self.running.iter().any(|(from, to)| (*from..*to).contains(&t))
     }
 
-    /// The last moment at or before `t` at which something touched it.
-    fn touched_by(&self, t: f64) -> f64 {
-        let begun = self.touched.iter().filter(|(from, _)| *from <= t);
+    /// The last moment at or before `t` at which a fault affected it.
+    fn last_fault(&self, t: f64) -> f64 {
+        let begun = self.faults.iter().filter(|(from, _)| *from <= t);
         begun.map(|(_, to)| to.min(t)).fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
 #[derive(Default)]
-struct Facts {
-    lives: BTreeMap<u32, Life>,
-    /// Spans of cuts, with both ends.
+struct History {
+    members: BTreeMap<u32, MemberHistory>,
+    /// Spans of cuts, with the gateways at both ends.
     cuts: Vec<(f64, f64, BTreeSet<u32>, BTreeSet<u32>)>,
-    twins: Vec<(f64, u32)>,
-    /// Duty by duty: the blocks of nodes, when each had a node that could be asked, and who asked.
+    /// When a second process was started under a gateway's number.
+    duplicates: Vec<(f64, u32)>,
+    /// The block that each node holds. Probing the nodes of one block is one duty.
     blocks: BTreeMap<String, i64>,
-    able: BTreeMap<i64, Vec<(f64, f64)>>,
-    asked: BTreeMap<i64, Vec<(f64, u32)>>,
+    /// Spans in which a block had a node that could be probed.
+    probeable: BTreeMap<i64, Vec<(f64, f64)>>,
+    /// Time of each probe of a block, and the gateway that sent it.
+    probes: BTreeMap<i64, Vec<(f64, u32)>>,
     end: f64,
 }
 
-fn begin(spans: &mut Vec<(f64, f64)>, t: f64) {
+fn open_span(spans: &mut Vec<(f64, f64)>, t: f64) {
     spans.push((t, f64::INFINITY));
 }
 
-fn end(spans: &mut [(f64, f64)], t: f64) {
+/// Closes the span opened last among those still open.
+fn close_span(spans: &mut [(f64, f64)], t: f64) {
     spans.iter_mut().rev().filter(|(_, to)| to.is_infinite()).take(1).for_each(|span| span.1 = t);
 }
 
-/// Faults that keep a target from being asked, or from noticing.
-fn disables(kind: &str) -> bool {
+/// Whether a fault of this kind keeps a node from being probed, or from recording the probe.
+fn prevents_probes(kind: &str) -> bool {
     matches!(kind, "refused" | "partition" | "pauses" | "resets" | "rogue" | "same-address")
 }
 
-fn facts(events: &[Event]) -> Facts {
-    let mut facts = Facts { end: events.last().map_or(0.0, Event::time), ..Facts::default() };
-    let mut links: Vec<(String, Vec<u32>, Vec<u32>, f64)> = Vec::new();
+fn collect_history(events: &[Event]) -> History {
+    let mut history = History { end: events.last().map_or(0.0, Event::time), ..History::default() };
+    let mut open_cuts: Vec<(String, Vec<u32>, Vec<u32>, f64)> = Vec::new();
     for event in events {
         match event {
             Event::GatewayStarted { t, gateway } => {
-                let life = facts.lives.entry(*gateway).or_default();
-                begin(&mut life.up, *t);
-                life.touched.push((*t, *t));
+                let member = history.members.entry(*gateway).or_default();
+                open_span(&mut member.running, *t);
+                member.faults.push((*t, *t));
             }
             Event::GatewayKilled { t, gateway } => {
-                let life = facts.lives.entry(*gateway).or_default();
-                end(&mut life.up, *t);
-                end(&mut life.touched, *t);
-                life.touched.push((*t, *t));
+                let member = history.members.entry(*gateway).or_default();
+                close_span(&mut member.running, *t);
+                close_span(&mut member.faults, *t);
+                member.faults.push((*t, *t));
             }
             Event::Fault { t, kind, on, begins } => {
                 let gateway = on.parse::<u32>().ok();
                 if let Some(number) = gateway.filter(|_| matches!(&kind[..], "stall" | "twins" | "clock")) {
-                    let life = facts.lives.entry(number).or_default();
+                    let member = history.members.entry(number).or_default();
                     if *begins {
-                        begin(&mut life.touched, *t);
+                        open_span(&mut member.faults, *t);
                     } else {
-                        end(&mut life.touched, *t);
+                        close_span(&mut member.faults, *t);
                     }
                     if kind == "twins" && *begins {
-                        facts.twins.push((*t, number));
+                        history.duplicates.push((*t, number));
                     }
                 }
-                if let Some(block) = facts.blocks.get(on).copied().filter(|_| disables(kind)) {
-                    let able = facts.able.entry(block).or_default();
+                if let Some(block) = history.blocks.get(on).copied().filter(|_| prevents_probes(kind)) {
+                    let probeable = history.probeable.entry(block).or_default();
                     if *begins {
-                        end(able, *t);
+                        close_span(probeable, *t);
                     } else {
-                        begin(able, *t);
+                        open_span(probeable, *t);
                     }
                 }
             }
             Event::LinkFault { t, kind, from, to, size, begins } => {
                 let heavy = match &kind[..] {
                     "cut" | "one-way" | "hole" => true,
-                    "lose" => *size > BORNE_LOSS,
-                    "delay" => *size > BORNE_DELAY,
+                    "lose" => *size > MAX_TOLERATED_LOSS,
+                    "delay" => *size > MAX_TOLERATED_DELAY,
                     _ => false,
                 };
                 if !heavy {
                     continue;
                 }
                 if *begins {
-                    links.push((kind.clone(), from.clone(), to.clone(), *t));
-                } else if let Some(at) =
-                    links.iter().position(|known| (&known.0, &known.1, &known.2) == (kind, from, to))
+                    open_cuts.push((kind.clone(), from.clone(), to.clone(), *t));
+                } else if let Some(cut_index) =
+                    open_cuts.iter().position(|cut| (&cut.0, &cut.1, &cut.2) == (kind, from, to))
                 {
-                    let (_, from, to, since) = links.remove(at);
+                    let (_, from, to, since) = open_cuts.remove(cut_index);
                     let ends = (from.into_iter().collect(), to.into_iter().collect());
-                    facts.cuts.push((since, *t, ends.0, ends.1));
+                    history.cuts.push((since, *t, ends.0, ends.1));
                 }
             }
             Event::NodeStarted { t, node, block, .. } => {
-                facts.blocks.insert(node.clone(), *block);
-                begin(facts.able.entry(*block).or_default(), *t);
+                history.blocks.insert(node.clone(), *block);
+                open_span(history.probeable.entry(*block).or_default(), *t);
             }
             Event::NodeStopped { t, node } => {
-                let block = facts.blocks.get(node).copied();
-                if let Some(able) = block.and_then(|block| facts.able.get_mut(&block)) {
-                    end(able, *t);
+                let block = history.blocks.get(node).copied();
+                if let Some(probeable) = block.and_then(|block| history.probeable.get_mut(&block)) {
+                    close_span(probeable, *t);
                 }
             }
             Event::NodeProbed { t, node, gateway } => {
-                if let Some(block) = facts.blocks.get(node) {
-                    facts.asked.entry(*block).or_default().push((*t, *gateway));
+                if let Some(block) = history.blocks.get(node) {
+                    history.probes.entry(*block).or_default().push((*t, *gateway));
                 }
             }
             _ => {}
         }
     }
-    for (_, from, to, since) in links {
-        facts.cuts.push((since, f64::INFINITY, from.into_iter().collect(), to.into_iter().collect()));
+    for (_, from, to, since) in open_cuts {
+        history.cuts.push((since, f64::INFINITY, from.into_iter().collect(), to.into_iter().collect()));
     }
-    facts
+    history
 }
 
-impl Facts {
-    /// The last moment at or before `t` at which a cut touched either of two, or one of them was touched itself.
-    fn touched(&self, one: u32, other: u32, t: f64) -> f64 {
-        let own = [one, other].map(|number| self.lives.get(&number).map_or(0.0, |life| life.touched_by(t)));
-        let near = |ends: &BTreeSet<u32>| ends.contains(&one) || ends.contains(&other);
-        let cuts = self.cuts.iter().filter(|(from, _, one, other)| *from <= t && (near(one) || near(other)));
-        cuts.map(|(_, to, ..)| to.min(t)).chain(own).fold(f64::NEG_INFINITY, f64::max)
+impl History {
+    /// The last moment at or before `t` at which a cut affected either of two members, or another fault affected one of
+    /// them.
+    fn last_fault_near(&self, first: u32, second: u32, t: f64) -> f64 {
+        let own = [first, second]
+            .map(|number| self.members.get(&number).map_or(0.0, |member| member.last_fault(t)));
+        let near = |ends: &BTreeSet<u32>| ends.contains(&first) || ends.contains(&second);
+        let cuts = self
+            .cuts
+            .iter()
+            .filter(|(cut_from, _, from_ends, to_ends)| *cut_from <= t && (near(from_ends) || near(to_ends)));
+        cuts.map(|(_, cut_to, ..)| cut_to.min(t)).chain(own).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// The last moment between two at which a fault of processes or links began or ended, anywhere in the fleet.
-    fn unrest(&self, from: f64, to: f64) -> f64 {
-        let touched = self.lives.values().flat_map(|life| life.touched.iter().copied());
-        let cuts = self.cuts.iter().map(|(from, to, ..)| (*from, *to));
-        let moments = touched.chain(cuts).flat_map(|(begun, ended)| [begun, ended]);
+    /// The last moment from `from` to `to` at which a fault of a process or a link began or ended, anywhere in the
+    /// fleet.
+    fn last_change_between(&self, from: f64, to: f64) -> f64 {
+        let faults = self.members.values().flat_map(|member| member.faults.iter().copied());
+        let cuts = self.cuts.iter().map(|(cut_from, cut_to, ..)| (*cut_from, *cut_to));
+        let moments = faults.chain(cuts).flat_map(|(begun, ended)| [begun, ended]);
         moments.filter(|t| (from..=to).contains(t)).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// From when on a cut no longer excuses two that do one duty until `to`.
-    fn healed(&self, to: f64, window: f64) -> f64 {
+    /// The moment from which no cut that began by `to` excuses two members that do one duty.
+    fn excused_until(&self, to: f64, window: f64) -> f64 {
         let begun = self.cuts.iter().filter(|(from, ..)| *from <= to);
-        begun.map(|(_, ends, ..)| ends + window).fold(f64::NEG_INFINITY, f64::max)
+        begun.map(|(_, healed_at, ..)| healed_at + window).fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// Spans in which each of two did a duty; what one does with no longer break than `gap` is one span.
-fn both(asked: &[(f64, u32)], gap: f64) -> Vec<(u32, u32, f64, f64)> {
+/// Spans in which two gateways both did a duty. Probes of one gateway at most `gap` seconds apart are one span.
+fn overlaps(probes: &[(f64, u32)], gap: f64) -> Vec<(u32, u32, f64, f64)> {
     let mut spans: Vec<(u32, f64, f64)> = Vec::new();
-    for (t, by) in asked {
-        match spans.iter_mut().rev().find(|(who, ..)| who == by).filter(|(_, _, to)| t - to <= gap) {
+    for (t, prober) in probes {
+        match spans.iter_mut().rev().find(|(known, ..)| known == prober).filter(|(_, _, to)| t - to <= gap) {
             Some(span) => span.2 = *t,
-            None => spans.push((*by, *t, *t)),
+            None => spans.push((*prober, *t, *t)),
         }
     }
     let mut found = Vec::new();
-    for (nth, (one, from, to)) in spans.iter().enumerate() {
-        for (other, since, until) in spans[nth + 1..].iter().filter(|(other, ..)| other != one) {
+    for (index, (first, from, to)) in spans.iter().enumerate() {
+        for (second, since, until) in spans[index + 1..].iter().filter(|(second, ..)| second != first) {
             let (from, to) = (from.max(*since), to.min(*until));
             if to > from {
-                found.push((*one, *other, from, to));
+                found.push((*first, *second, from, to));
             }
         }
     }
     found
 }
 
-/// Every breach of the fleet's promises in a record, whose events come in order of time.
-pub fn judge(book: &Parameters, events: &[Event]) -> Vec<Breach> {
-    let facts = facts(events);
+/// Returns every breach of the fleet's promises in a record, whose events come in order of time.
+pub fn judge(parameters: &Parameters, events: &[Event]) -> Vec<Breach> {
+    let history = collect_history(events);
     let mut breaches = Vec::new();
-    duties(book, &facts, &mut breaches);
-    views(book, &facts, events, &mut breaches);
-    talk(book, &facts, events, &mut breaches);
-    breaches.sort_by(|one, other| one.t.total_cmp(&other.t));
+    judge_duties(parameters, &history, &mut breaches);
+    judge_views(parameters, &history, events, &mut breaches);
+    judge_traffic(parameters, &history, events, &mut breaches);
+    breaches.sort_by(|left, right| left.t.total_cmp(&right.t));
     breaches
 }
 
-fn duties(book: &Parameters, facts: &Facts, breaches: &mut Vec<Breach>) {
-    let anyone = facts.lives.values().filter_map(|life| life.up.first()).map(|(from, _)| *from);
-    let first = anyone.fold(f64::INFINITY, f64::min);
-    for (block, able) in &facts.able {
-        let asked = facts.asked.get(block).map_or(&[][..], |asked| asked);
-        for (one, other, from, to) in both(asked, 2.5 * book.duty_period) {
-            let from = from.max(facts.healed(to, book.window));
-            if to - from > book.window + book.transit {
+fn judge_duties(parameters: &Parameters, history: &History, breaches: &mut Vec<Breach>) {
+    let starts = history.members.values().filter_map(|member| member.running.first()).map(|(from, _)| *from);
+    let first_start = starts.fold(f64::INFINITY, f64::min);
+    for (block, probeable) in &history.probeable {
+        let probes = history.probes.get(block).map_or(&[][..], |probes| probes);
+        for (first, second, from, to) in overlaps(probes, 2.5 * parameters.duty_period) {
+            let from = from.max(history.excused_until(to, parameters.window));
+            if to - from > parameters.window + parameters.transit {
                 let description =
-                    format!("block {block} is probed by {one} and {other} for {:.1} s", to - from);
+                    format!("block {block} was probed by both {first} and {second} for {:.1} s", to - from);
                 breaches.push(Breach { promise: Promise::OneDoer, t: from, description });
             }
         }
-        // Each span in which somebody could ask it, from the first start on.
-        for (from, to) in able {
-            let (from, to) = (from.max(first), to.min(facts.end));
-            let inside = asked.iter().map(|(t, _)| *t).filter(|t| (from..to).contains(t));
-            let mut before = from;
+        // Judges each span in which a gateway could probe the block, from the first gateway's start on.
+        for (from, to) in probeable {
+            let (from, to) = (from.max(first_start), to.min(history.end));
+            let inside = probes.iter().map(|(t, _)| *t).filter(|t| (from..to).contains(t));
+            let mut previous = from;
             for t in inside.chain([to]) {
-                let quiet = t - before.max(facts.unrest(before, t));
-                if quiet > book.done_within + book.transit || t - before > book.done_at_worst + book.transit {
+                let quiet = t - previous.max(history.last_change_between(previous, t));
+                if quiet > parameters.done_within + parameters.transit
+                    || t - previous > parameters.done_at_worst + parameters.transit
+                {
                     let description = format!(
-                        "block {block} is not probed for {:.1} s, {quiet:.1} of them quiet",
-                        t - before
+                        "block {block} was not probed for {:.1} s, the last {quiet:.1} s without a fault",
+                        t - previous
                     );
-                    breaches.push(Breach { promise: Promise::Done, t: before, description });
+                    breaches.push(Breach { promise: Promise::Done, t: previous, description });
                 }
-                before = t;
+                previous = t;
             }
         }
     }
 }
 
-fn views(book: &Parameters, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
-    let settle_time = book.settle_time + book.transit;
-    // Since when each process holds another dead: a death that is taken back in time is a false alarm, no breach.
+fn judge_views(parameters: &Parameters, history: &History, events: &[Event], breaches: &mut Vec<Breach>) {
+    let settled = parameters.settle_time + parameters.transit;
+    // Since when each process holds another member dead. A false report of a death that is withdrawn in time is no
+    // breach.
     let mut dead_since: BTreeMap<(u32, u32, u32), f64> = BTreeMap::new();
     for event in events {
         let Event::MemberView { t, gateway, process, live, dead, .. } = event else { continue };
         for other in live {
             dead_since.remove(&(*gateway, *process, *other));
         }
-        for (held, others) in [(true, live), (false, dead)] {
+        for (held_live, others) in [(true, live), (false, dead)] {
             for other in others.iter().filter(|other| *other != gateway) {
-                let up = facts.lives.get(other).is_some_and(|life| life.up_at(*t));
-                let since = match held {
+                let running = history.members.get(other).is_some_and(|member| member.running_at(*t));
+                let since = match held_live {
                     true => f64::NEG_INFINITY,
                     false => *dead_since.entry((*gateway, *process, *other)).or_insert(*t),
                 };
-                let long = t - facts.touched(*gateway, *other, *t).max(since);
-                if up == held || long <= settle_time {
+                let elapsed = t - history.last_fault_near(*gateway, *other, *t).max(since);
+                if running == held_live || elapsed <= settled {
                     continue;
                 }
-                let promise = if up { Promise::LiveHeldLive } else { Promise::DeadHeldDead };
-                let wrong = if held { "alive" } else { "dead" };
+                let promise = if running { Promise::LiveHeldLive } else { Promise::DeadHeldDead };
+                let status = if held_live { "alive" } else { "dead" };
                 let description =
-                    format!("{gateway} holds {other} {wrong}, {long:.1} s after the last fault near them");
+                    format!("{gateway} held {other} {status} {elapsed:.1} s after the last fault near them");
                 breaches.push(Breach { promise, t: *t, description });
             }
         }
     }
 }
 
-fn talk(book: &Parameters, facts: &Facts, events: &[Event], breaches: &mut Vec<Breach>) {
-    let mut speaks: BTreeMap<u32, BTreeSet<u32>> = BTreeMap::new();
+fn judge_traffic(parameters: &Parameters, history: &History, events: &[Event], breaches: &mut Vec<Breach>) {
+    let mut senders: BTreeMap<u32, BTreeSet<u32>> = BTreeMap::new();
     for event in events {
         let Event::MemberTraffic { t, gateway, process, seconds, bytes, longest, .. } = event else {
             continue;
         };
         let rate = *bytes as f64 / seconds.max(0.5);
-        if rate > book.max_bytes_per_second || *longest > book.longest_datagram {
-            let description = format!("{gateway} sent {rate:.0} bytes a second, {longest} in one datagram");
+        if rate > parameters.max_bytes_per_second || *longest > parameters.longest_datagram {
+            let description =
+                format!("{gateway} sent {rate:.0} bytes per second, its longest datagram {longest} bytes");
             breaches.push(Breach { promise: Promise::Traffic, t: *t, description });
         }
-        // A second process of a number may speak until it has found out, or the first has.
-        let twin = facts.twins.iter().rfind(|(from, number)| number == gateway && *from <= *t);
-        let Some((from, _)) = twin.filter(|(from, _)| t - seconds - from > book.settle_time) else {
+        // A second process under one number may send until it has noticed the first, or the first has noticed it.
+        let duplicate = history.duplicates.iter().rfind(|(from, number)| number == gateway && *from <= *t);
+        let Some((from, _)) = duplicate.filter(|(from, _)| t - seconds - from > parameters.settle_time)
+        else {
             continue;
         };
-        let others = speaks.entry(*gateway).or_default();
-        others.insert(*process);
-        let started = facts.lives.get(gateway).is_some_and(|life| life.up.iter().any(|(up, _)| up > from));
-        if others.len() > 1 && !started {
-            let description = format!("{} processes speak as {gateway}", others.len());
+        let sending = senders.entry(*gateway).or_default();
+        sending.insert(*process);
+        let restarted = history
+            .members
+            .get(gateway)
+            .is_some_and(|member| member.running.iter().any(|(started_at, _)| started_at > from));
+        if sending.len() > 1 && !restarted {
+            let description = format!("{} processes send as {gateway}", sending.len());
             breaches.push(Breach { promise: Promise::OneName, t: *t, description });
         }
     }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -407,7 +407,10 @@
         let (t, mark, units) = (*t, *mark, *units);
         let arrivals = self.arrivals.entry(node.clone()).or_default();
         arrivals.push_back((t, *gateway, units));
-        while arrivals.front().is_some_and(|(time, ..)| *time < t - self.parameters.overload_window) {
+        while arrivals
+            .front()
+            .is_some_and(|(entered_at, ..)| *entered_at < t - self.parameters.overload_window)
+        {
             arrivals.pop_front();
         }
         self.judge_drain(t, *gateway, node);
@@ -559,7 +562,9 @@
         // Transactions completed over 10 s ago are dropped from the queue, as a key can be in use for the whole record.
         queue.retain(|queued| {
             let earlier = &transactions[queued];
-            *queued == mark || earlier.completed_at().is_none_or(|end| end > t - 10.0) || earlier.sent_at > t
+            *queued == mark
+                || earlier.completed_at().is_none_or(|finished_at| finished_at > t - 10.0)
+                || earlier.sent_at > t
         });
         for queued in queue.iter().filter(|queued| **queued != mark) {
             let earlier = &self.transactions[queued];
