--- a/crates/rules/tests/promises.rs
+++ b/crates/rules/tests/promises.rs
@@ -1,10 +1,11 @@
-//! Each promise of the fleet: a planted breach that is found, and a case just inside that passes.
+//! For each promise of the fleet, a record with a breach that the judge must find, and a record just within the promise
+//! that must pass.
 
 use quaypath_record::Event;
 use quaypath_rules::fleet::{judge, Parameters, Promise};
 use test_case::test_case;
 
-const BOOK: Parameters = Parameters {
+const PARAMETERS: Parameters = Parameters {
     duty_period: 2.0,
     window: 4.0,
     done_within: 10.0,
@@ -15,11 +16,11 @@
     transit: 0.05,
 };
 
-fn started(t: f64, gateway: u32) -> Event {
+fn gateway_started(t: f64, gateway: u32) -> Event {
     Event::GatewayStarted { t, gateway }
 }
 
-fn killed(t: f64, gateway: u32) -> Event {
+fn gateway_killed(t: f64, gateway: u32) -> Event {
     Event::GatewayKilled { t, gateway }
 }
 
@@ -27,89 +28,89 @@
     Event::Fault { t, kind: kind.into(), on: on.into(), begins }
 }
 
-fn link(t: f64, kind: &str, size: f64, begins: bool) -> Event {
+fn link_fault(t: f64, kind: &str, size: f64, begins: bool) -> Event {
     Event::LinkFault { t, kind: kind.into(), from: vec![1], to: vec![2], size, begins }
 }
 
-fn view(t: f64, live: &[u32], dead: &[u32]) -> Event {
+fn member_view(t: f64, live: &[u32], dead: &[u32]) -> Event {
     Event::MemberView { t, gateway: 1, process: 1, incarnation: 1, live: live.to_vec(), dead: dead.to_vec() }
 }
 
-fn talked(t: f64, process: u32, bytes: u64, longest: u64) -> Event {
+fn member_traffic(t: f64, process: u32, bytes: u64, longest: u64) -> Event {
     Event::MemberTraffic { t, gateway: 2, process, seconds: 1.0, datagrams: 9, bytes, longest }
 }
 
-fn probed(t: f64, gateway: u32) -> Event {
+fn node_probed(t: f64, gateway: u32) -> Event {
     Event::NodeProbed { t, node: "n".into(), gateway }
 }
 
-fn up(t: f64) -> Event {
+fn node_started(t: f64) -> Event {
     Event::NodeStarted { t, node: "n".into(), block: 3, zone: "a".into(), cold: false }
 }
 
-fn down(t: f64) -> Event {
+fn node_stopped(t: f64) -> Event {
     Event::NodeStopped { t, node: "n".into() }
 }
 
-/// Probes every two seconds by one, and by another every two from `from` to `to`.
-fn two(from: f64, to: f64, more: &[Event]) -> Vec<Event> {
-    let mut events = vec![up(0.0), started(0.0, 1), started(0.0, 2)];
-    events.extend((0..30).map(|nth| probed(f64::from(nth) * 2.0, 1)));
+/// Gateway 1 probes a node every 2 s; gateway 2 does so too from `from` to `to`, seconds.
+fn two_probers(from: f64, to: f64, added: &[Event]) -> Vec<Event> {
+    let mut events = vec![node_started(0.0), gateway_started(0.0, 1), gateway_started(0.0, 2)];
+    events.extend((0..30).map(|number| node_probed(f64::from(number) * 2.0, 1)));
     events.extend(
         (0..30)
-            .map(|nth| 1.0 + f64::from(nth) * 2.0)
+            .map(|number| 1.0 + f64::from(number) * 2.0)
             .filter(|t| (from..=to).contains(t))
-            .map(|t| probed(t, 2)),
+            .map(|t| node_probed(t, 2)),
     );
-    events.extend_from_slice(more);
+    events.extend_from_slice(added);
     events
 }
 
-/// Members 1 and 2 up; what is held of 2 at `t`.
-fn held(t: f64, live: bool, more: &[Event]) -> Vec<Event> {
-    let view = if live { view(t, &[1, 2], &[]) } else { view(t, &[1], &[2]) };
-    let mut events = vec![started(0.0, 1), started(0.0, 2), view];
-    // Held dead from early on, not found dead now.
-    events.extend((!live).then(|| self::view(0.1, &[1], &[2])));
-    events.extend_from_slice(more);
+/// Members 1 and 2 run; at `t` member 1 holds member 2 to be live or dead.
+fn view_of_member(t: f64, live: bool, added: &[Event]) -> Vec<Event> {
+    let view = if live { member_view(t, &[1, 2], &[]) } else { member_view(t, &[1], &[2]) };
+    let mut events = vec![gateway_started(0.0, 1), gateway_started(0.0, 2), view];
+    // Member 2 was already held dead at 0.1 s, so this is not a recent report.
+    events.extend((!live).then(|| self::member_view(0.1, &[1], &[2])));
+    events.extend_from_slice(added);
     events
 }
 
-/// Held alive in between.
-fn held_between(t: f64) -> Vec<Event> {
-    held(t, false, &[view(t - 5.0, &[1, 2], &[])])
+/// Member 2 is held dead from early on and at `t`, but live 5 s before `t`.
+fn dead_after_alive(t: f64) -> Vec<Event> {
+    view_of_member(t, false, &[member_view(t - 5.0, &[1, 2], &[])])
 }
 
-#[test_case(two(11.0, 15.0, &[]), &[]; "two do a duty for the window")]
-#[test_case(two(11.0, 17.0, &[]), &[Promise::OneDoer]; "two do a duty for longer")]
-#[test_case(two(11.0, 31.0, &[link(10.0, "cut", 0.0, true), link(28.0, "cut", 0.0, false)]), &[]; "in a cut and a window after")]
-#[test_case(two(11.0, 43.0, &[link(10.0, "cut", 0.0, true), link(28.0, "cut", 0.0, false)]), &[Promise::OneDoer]; "for long after a cut")]
-#[test_case(two(11.0, 31.0, &[link(10.0, "lose", 0.3, true), link(28.0, "lose", 0.3, false)]), &[Promise::OneDoer]; "loss that is borne excuses nothing")]
-#[test_case(vec![up(0.0), started(0.0, 1), probed(5.0, 1), probed(15.0, 1), down(25.0)], &[]; "done again in time")]
-#[test_case(vec![up(0.0), started(0.0, 1), probed(5.0, 1), probed(15.2, 1), down(25.0)], &[Promise::Done]; "done late")]
-#[test_case(vec![up(0.0), started(0.0, 1), started(0.0, 2), probed(5.0, 1), killed(9.0, 2), probed(18.9, 1), down(20.0)], &[]; "done in time after a kill")]
-#[test_case(vec![up(0.0), started(0.0, 1), started(0.0, 2), probed(5.0, 1), killed(9.0, 2), probed(19.2, 1), down(20.0)], &[Promise::Done]; "done late after a kill")]
-#[test_case(vec![up(0.0), started(0.0, 1), started(0.0, 2), probed(5.0, 1), killed(9.0, 2), started(18.0, 2), probed(25.2, 1), down(26.0)], &[Promise::Done]; "done late whatever goes on")]
-#[test_case(vec![up(0.0), started(0.0, 1), probed(5.0, 1), down(12.0), up(40.0), probed(45.0, 1), down(46.0)], &[]; "nobody to ask")]
-#[test_case(vec![up(0.0), started(0.0, 1), probed(5.0, 1), fault(6.0, "partition", "n", true), fault(40.0, "partition", "n", false), probed(45.0, 1), down(46.0)], &[]; "a node that hears nothing")]
-#[test_case(held(10.0, false, &[]), &[]; "held dead soon after its start")]
-#[test_case(held(16.0, false, &[]), &[Promise::LiveHeldLive]; "held dead for long")]
-#[test_case(held_between(40.0), &[]; "held dead for a while")]
-#[test_case(held(40.0, false, &[fault(20.0, "stall", "2", true), fault(26.0, "stall", "2", false)]), &[]; "held dead soon after a stop")]
-#[test_case(held(42.0, false, &[fault(20.0, "stall", "2", true), fault(26.0, "stall", "2", false)]), &[Promise::LiveHeldLive]; "held dead for long after a stop")]
-#[test_case(held(40.0, false, &[link(20.0, "one-way", 0.0, true)]), &[]; "held dead behind a cut")]
-#[test_case(held(40.0, false, &[link(20.0, "repeat", 0.5, true)]), &[Promise::LiveHeldLive]; "repeats excuse nothing")]
-#[test_case(held(34.0, true, &[killed(20.0, 2)]), &[]; "held alive soon after its death")]
-#[test_case(held(36.0, true, &[killed(20.0, 2)]), &[Promise::DeadHeldDead]; "held alive long after its death")]
-#[test_case(held(36.0, true, &[killed(20.0, 2), started(22.0, 2)]), &[]; "alive again")]
-#[test_case(vec![started(0.0, 2), fault(10.0, "twins", "2", true), talked(20.0, 1, 9, 9), talked(20.0, 1001, 9, 9), talked(40.0, 1001, 9, 9)], &[]; "one of two falls silent")]
-#[test_case(vec![started(0.0, 2), fault(10.0, "twins", "2", true), talked(40.0, 1, 9, 9), talked(40.0, 1001, 9, 9)], &[Promise::OneName]; "both go on")]
-#[test_case(vec![started(0.0, 2), talked(3.0, 1, 10_000, 1200)], &[]; "as much as is allowed")]
-#[test_case(vec![started(0.0, 2), talked(3.0, 1, 10_001, 1200)], &[Promise::Traffic]; "too much")]
-#[test_case(vec![started(0.0, 2), talked(3.0, 1, 2000, 1201)], &[Promise::Traffic]; "too long")]
-fn promises(mut events: Vec<Event>, broken: &[Promise]) {
-    events.sort_by(|one, other| one.time().total_cmp(&other.time()));
-    let mut found: Vec<Promise> = judge(&BOOK, &events).iter().map(|breach| breach.promise).collect();
+#[test_case(two_probers(11.0, 15.0, &[]), &[]; "two members do a duty for the window")]
+#[test_case(two_probers(11.0, 17.0, &[]), &[Promise::OneDoer]; "two members do a duty for longer than the window")]
+#[test_case(two_probers(11.0, 31.0, &[link_fault(10.0, "cut", 0.0, true), link_fault(28.0, "cut", 0.0, false)]), &[]; "two members do a duty during a cut and for the window after it")]
+#[test_case(two_probers(11.0, 43.0, &[link_fault(10.0, "cut", 0.0, true), link_fault(28.0, "cut", 0.0, false)]), &[Promise::OneDoer]; "two members do a duty long after a cut")]
+#[test_case(two_probers(11.0, 31.0, &[link_fault(10.0, "lose", 0.3, true), link_fault(28.0, "lose", 0.3, false)]), &[Promise::OneDoer]; "two members do a duty during a tolerated loss")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), node_probed(5.0, 1), node_probed(15.0, 1), node_stopped(25.0)], &[]; "duty done again in time")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), node_probed(5.0, 1), node_probed(15.2, 1), node_stopped(25.0)], &[Promise::Done]; "duty done late")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), gateway_started(0.0, 2), node_probed(5.0, 1), gateway_killed(9.0, 2), node_probed(18.9, 1), node_stopped(20.0)], &[]; "duty done in time after a kill")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), gateway_started(0.0, 2), node_probed(5.0, 1), gateway_killed(9.0, 2), node_probed(19.2, 1), node_stopped(20.0)], &[Promise::Done]; "duty done late after a kill")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), gateway_started(0.0, 2), node_probed(5.0, 1), gateway_killed(9.0, 2), gateway_started(18.0, 2), node_probed(25.2, 1), node_stopped(26.0)], &[Promise::Done]; "duty done later than the time for the worst case")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), node_probed(5.0, 1), node_stopped(12.0), node_started(40.0), node_probed(45.0, 1), node_stopped(46.0)], &[]; "no node to probe")]
+#[test_case(vec![node_started(0.0), gateway_started(0.0, 1), node_probed(5.0, 1), fault(6.0, "partition", "n", true), fault(40.0, "partition", "n", false), node_probed(45.0, 1), node_stopped(46.0)], &[]; "a node that no probe can reach")]
+#[test_case(view_of_member(10.0, false, &[]), &[]; "held dead soon after its start")]
+#[test_case(view_of_member(16.0, false, &[]), &[Promise::LiveHeldLive]; "held dead long after its start")]
+#[test_case(dead_after_alive(40.0), &[]; "held dead again for a short time")]
+#[test_case(view_of_member(40.0, false, &[fault(20.0, "stall", "2", true), fault(26.0, "stall", "2", false)]), &[]; "held dead soon after a stall")]
+#[test_case(view_of_member(42.0, false, &[fault(20.0, "stall", "2", true), fault(26.0, "stall", "2", false)]), &[Promise::LiveHeldLive]; "held dead long after a stall")]
+#[test_case(view_of_member(40.0, false, &[link_fault(20.0, "one-way", 0.0, true)]), &[]; "held dead during a cut")]
+#[test_case(view_of_member(40.0, false, &[link_fault(20.0, "repeat", 0.5, true)]), &[Promise::LiveHeldLive]; "held dead while a link repeats datagrams")]
+#[test_case(view_of_member(34.0, true, &[gateway_killed(20.0, 2)]), &[]; "held alive soon after its kill")]
+#[test_case(view_of_member(36.0, true, &[gateway_killed(20.0, 2)]), &[Promise::DeadHeldDead]; "held alive long after its kill")]
+#[test_case(view_of_member(36.0, true, &[gateway_killed(20.0, 2), gateway_started(22.0, 2)]), &[]; "held alive after a kill and a restart")]
+#[test_case(vec![gateway_started(0.0, 2), fault(10.0, "twins", "2", true), member_traffic(20.0, 1, 9, 9), member_traffic(20.0, 1001, 9, 9), member_traffic(40.0, 1001, 9, 9)], &[]; "one of two processes stops sending")]
+#[test_case(vec![gateway_started(0.0, 2), fault(10.0, "twins", "2", true), member_traffic(40.0, 1, 9, 9), member_traffic(40.0, 1001, 9, 9)], &[Promise::OneName]; "both processes go on sending")]
+#[test_case(vec![gateway_started(0.0, 2), member_traffic(3.0, 1, 10_000, 1200)], &[]; "the maximum rate and datagram length")]
+#[test_case(vec![gateway_started(0.0, 2), member_traffic(3.0, 1, 10_001, 1200)], &[Promise::Traffic]; "above the maximum rate")]
+#[test_case(vec![gateway_started(0.0, 2), member_traffic(3.0, 1, 2000, 1201)], &[Promise::Traffic]; "above the maximum datagram length")]
+fn promises(mut events: Vec<Event>, expected: &[Promise]) {
+    events.sort_by(|left, right| left.time().total_cmp(&right.time()));
+    let mut found: Vec<Promise> = judge(&PARAMETERS, &events).iter().map(|breach| breach.promise).collect();
     found.dedup();
-    assert_eq!(found, broken);
+    assert_eq!(found, expected);
 }
