--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -36,14 +36,14 @@
 use crate::fleet::SkewedClock;
 use crate::index::Index;
 use crate::net;
-use crate::node_association::{Act, Event as Went, Path};
+use crate::node_association::{Effect, Event as AssociationEvent, NodeAssociation};
 use crate::node_list::{ListSnapshot, ListedNode, NodeList, RegisterCall};
 use crate::outcome::{outcome, Ended, Progress};
 use crate::peer::{write_out, Stuck};
 use crate::peer_signals::Shares;
 use crate::polls::{spawn, take_summary, Peer, TaskKind};
 use crate::run::Options;
-use crate::subsystem::Face;
+use crate::subsystem::GatewaySubsystem;
 use crate::timer_wheel::TimerWheel;
 
 /// Data asked for and not yet taken by one client connection, bytes, at which its commands are turned away.
@@ -165,7 +165,7 @@
     waiting: VecDeque<(u64, u32)>,
     /// Since when we know that it drains or is gone.
     shut_since: Option<f64>,
-    path: Path,
+    node_association: NodeAssociation,
     /// When it started, as the list told last; 0: long ago.
     started: Option<f64>,
 }
@@ -520,15 +520,17 @@
             let node = self.backs.get(&connection).filter(|_| kept.contains(&connection));
             let node = node.map(|back| back.node.clone());
             // Closed by us for want of use: not a loss.
-            node.into_iter().for_each(|node| self.went(&node, Went::Idle));
+            node.into_iter()
+                .for_each(|node| self.handle_association_event(&node, AssociationEvent::IdleClosed));
             self.back_closed(connection);
         }
         let listed = self.nodes.iter().filter(|(_, node)| node.shut_since.is_none());
         let names: Vec<NodeId> = listed.map(|(name, _)| name.clone()).collect();
-        names.iter().for_each(|name| self.went(name, Went::Tick));
+        names.iter().for_each(|name| self.handle_association_event(name, AssociationEvent::Tick));
         // A node that is gone, with nothing at it, need not be remembered.
         self.nodes.retain(|_, node| {
-            let missed = matches!(node.path.state(), crate::node_association::State::Waiting { .. });
+            let missed =
+                matches!(node.node_association.state(), crate::node_association::State::BackingOff { .. });
             let idle = matches!(node.link, Link::Closed) && node.waiting.is_empty() && !missed;
             !(idle && node.shut_since.is_none_or(|since| now - since > 60.0))
         });
@@ -607,9 +609,9 @@
                     let Some(of) = self.nodes.get_mut(node) else { continue };
                     of.shut_since = None;
                     let anew = of.started.replace(*started).is_some_and(|before| before != *started);
-                    self.went(node, Went::Ready);
+                    self.handle_association_event(node, AssociationEvent::NodeReady);
                     if anew {
-                        self.went(node, Went::Restarted);
+                        self.handle_association_event(node, AssociationEvent::NodeRestarted);
                     }
                 }
                 _ => shut.push(node.clone()),
@@ -626,7 +628,7 @@
                 continue;
             };
             node.shut_since = Some(now);
-            node.path.on(now, Went::Shut, 0.0);
+            node.node_association.handle(now, AssociationEvent::NodeUnavailable, 0.0);
             self.timers.set(now + grace, Timer::Grace(name.clone()));
             let waiting: Vec<(u64, u32)> = node.waiting.drain(..).collect();
             let queued = self.backs.values().filter(|back| back.node == name);
@@ -837,8 +839,8 @@
     /// A command of a client's admin queue.
     fn admin(&mut self, connection: u64, sqe: &Sqe) {
         let deployment = self.deployment.clone();
-        let face = Face { deployment: &deployment };
-        match self.associations.command(self.now, connection, sqe, &face) {
+        let subsystem = GatewaySubsystem { deployment: &deployment };
+        match self.associations.command(self.now, connection, sqe, &subsystem) {
             Some(Do::Respond(cqe, data)) => self.respond_with(connection, cqe, &data),
             Some(Do::Disconnect(cqe)) => self.respond_with(connection, cqe, &[]),
             Some(Do::Hold) | None => {}
@@ -930,19 +932,19 @@
             Link::Opening => known.waiting.push_back((id, number)),
             Link::Closed => {
                 known.waiting.push_back((id, number));
-                self.went(&node, Went::Wanted);
+                self.handle_association_event(&node, AssociationEvent::ShotRequested);
             }
         }
     }
 
     /// Something happened to the path to a node; what follows from it is done.
-    fn went(&mut self, name: &NodeId, event: Went) {
-        let chance = self.chance.generate::<f64>();
+    fn handle_association_event(&mut self, name: &NodeId, event: AssociationEvent) {
+        let jitter = self.chance.generate::<f64>();
         let Some(node) = self.nodes.get_mut(name) else { return };
-        match node.path.on(self.now, event, chance) {
-            Act::Nothing => {}
-            Act::Open => self.open_link(name.clone()),
-            Act::Retire => {
+        match node.node_association.handle(self.now, event, jitter) {
+            Effect::Nothing => {}
+            Effect::Open => self.open_link(name.clone()),
+            Effect::Retire => {
                 // Live commands finish there; the next shot makes a new association.
                 if let Link::Up(ios, admin) = std::mem::take(&mut node.link) {
                     for at in ios.iter().chain([&admin]) {
@@ -994,8 +996,8 @@
                 let node = back.node.clone();
                 self.nodes.entry(node.clone()).or_default().waiting.push_back((id, number));
                 // As if another process were there: what is out finishes, what comes takes a fresh association.
-                self.went(&node, Went::Restarted);
-                self.went(&node, Went::Wanted);
+                self.handle_association_event(&node, AssociationEvent::NodeRestarted);
+                self.handle_association_event(&node, AssociationEvent::ShotRequested);
             }
         }
     }
@@ -1066,7 +1068,7 @@
             self.backs.insert(self.next_connection, back);
             self.next_connection += 1;
         }
-        self.went(name, Went::Opened);
+        self.handle_association_event(name, AssociationEvent::Opened);
         let node = self.nodes.entry(name.clone()).or_default();
         node.link = Link::Up(ids[1..].to_vec(), ids[0]);
         let waiting: Vec<_> = node.waiting.drain(..).collect();
@@ -1083,7 +1085,7 @@
         let Some(node) = self.nodes.get_mut(name) else { return };
         node.link = Link::Closed;
         let waiting: Vec<_> = node.waiting.drain(..).collect();
-        self.went(name, Went::Failed);
+        self.handle_association_event(name, AssociationEvent::OpenFailed);
         for (id, number) in waiting {
             self.end_shot(id, number, Ended::Lost, Told::default());
         }
@@ -1156,7 +1158,7 @@
             _ => None,
         });
         if peers.is_some() {
-            self.went(&back.node, Went::Broke);
+            self.handle_association_event(&back.node, AssociationEvent::ConnectionLost);
         }
         for (id, number) in lost {
             if let Some(shot) = self.open.get_mut(&id).and_then(|t| t.shot.as_mut()) {
@@ -1175,7 +1177,7 @@
         };
         if ios.iter().all(idle) {
             let admin = *admin;
-            self.went(node, Went::Idle);
+            self.handle_association_event(node, AssociationEvent::IdleClosed);
             self.back_closed(admin);
         }
     }
--- a/crates/initiator/src/lib.rs
+++ b/crates/initiator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The running initiator: sockets, timers, and the core's actions carried out.
+//! The NVMe/TCP gateway: sockets, timers, and the execution of the actions that the decision core requests.
 //!
-//! [`run`] is one instance: one single-threaded executor, one core, connections of its own. Nothing is shared
-//! between instances of one process. What happens on the sockets becomes a call of the core in
-//! [`instance`], through the one table of [`outcome`]; what the core asks for is carried out there too.
+//! [`run`] runs one instance: one single-threaded executor with its own core and its own connections. Instances of
+//! one process share nothing. [`instance`] turns socket events into calls of the core, with [`outcome`] as the only
+//! table of shot outcomes, and carries out the actions that the core returns.
 
 pub mod core;
 pub mod counts;
--- a/crates/initiator/src/node_association.rs
+++ b/crates/initiator/src/node_association.rs
@@ -1,149 +1,157 @@
-//! The path to one node, without I/O: when an association is made, given up, made again, and when it may not carry
-//! anything new. Which node a shot goes to, and when a silent node is tried again, is the core's; this only keeps a
-//! connection there for it.
+//! The state of the association with one node, without I/O: when it is opened, when it is given up, when it is opened
+//! again, and when it takes no new shots. The core decides which node a shot goes to and when an unresponsive node is
+//! tried again; this state machine only provides the connection.
 //!
-//! After a loss the path is made again by itself, a few times, at growing and jittered waits: a hundred gateways must
-//! not all knock at the moment a node comes back. After the loss time it is left alone until the core wants it.
+//! After a connection loss, a few reconnect attempts are made automatically, with growing and jittered delays, because
+//! a hundred gateways must not all connect at the moment when a node comes back. After the loss timeout, reconnecting
+//! stops until the core sends a shot to the node.
 
-/// First and longest wait between attempts of its own, seconds.
-const FIRST_WAIT: f64 = 0.05;
-const LONGEST_WAIT: f64 = 2.0;
-/// How long attempts of its own go on after a loss (the controller loss time), seconds.
-pub const LOSS_TIME: f64 = 10.0;
+/// Base of the delay between automatic reconnect attempts, doubled with each attempt, seconds.
+const BASE_DELAY: f64 = 0.05;
+/// Cap of the delay between automatic reconnect attempts before jitter, seconds.
+const MAX_DELAY: f64 = 2.0;
+/// Time after a loss in which automatic reconnect attempts are made (the controller loss timeout), seconds.
+pub const LOSS_TIMEOUT: f64 = 10.0;
 
+/// State of an association.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// No association, and none is missed.
+    /// No association exists and none is needed.
     Closed,
     Opening,
     Up,
-    /// Lost or refused; made again at this time unless the core wants it before.
-    Waiting {
+    /// The association was lost or refused; it is opened again at this time, or earlier if the core sends a shot.
+    BackingOff {
         until: f64,
     },
-    /// Lost for longer than the loss time: only the core's wish makes it again.
-    Lost,
-    /// The node drains or is gone: what is there finishes, nothing is made again by itself.
+    /// The association has been down for longer than the loss timeout; it is opened again only for a shot.
+    GivenUp,
+    /// The node is draining or removed: live commands finish, and no automatic reconnect attempts are made.
     Fenced,
 }
 
+/// Event that changes the state of an association.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The core sends a shot here.
-    Wanted,
+    /// The core sends a shot to this node.
+    ShotRequested,
     Opened,
-    Failed,
-    /// The association ended by itself.
-    Broke,
-    /// It was closed for want of use.
-    Idle,
-    /// Time goes on.
+    OpenFailed,
+    /// The association ended without a request of this side.
+    ConnectionLost,
+    /// This side closed the association because it was idle.
+    IdleClosed,
+    /// Periodic check of the reconnect delay.
     Tick,
-    /// The list says that the node drains or is gone.
-    Shut,
-    /// The list says that it is ready.
-    Ready,
-    /// The list says that it started anew under the same address.
-    Restarted,
+    /// The node list says that the node is draining or removed.
+    NodeUnavailable,
+    /// The node list says that the node is ready.
+    NodeReady,
+    /// The node list says that the node restarted under the same address.
+    NodeRestarted,
 }
 
-/// What the driver is to do.
+/// What the caller has to do after an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Effect {
     Nothing,
-    /// Make an association.
+    /// Open an association.
     Open,
-    /// What there is belongs to a process of before: it finishes what it has and takes nothing new.
+    /// The existing association belongs to an earlier process: let it finish its commands and send it no new ones.
     Retire,
 }
 
+/// State machine of the association with one node.
 #[derive(Debug)]
-pub struct Path {
+pub struct NodeAssociation {
     state: State,
-    /// Attempts since the association was up last, and since when it is not.
+    /// Attempts to open since the association was last up.
     attempts: u32,
+    /// Clock time of the loss, seconds; negative infinity when there was none.
     down_since: f64,
 }
 
-impl Default for Path {
+impl Default for NodeAssociation {
     fn default() -> Self {
-        Path { state: State::Closed, attempts: 0, down_since: f64::NEG_INFINITY }
+        NodeAssociation { state: State::Closed, attempts: 0, down_since: f64::NEG_INFINITY }
     }
 }
 
-impl Path {
+impl NodeAssociation {
     pub fn state(&self) -> State {
         self.state
     }
 
-    fn shift(&mut self, to: State) {
-        self.state = to;
+    fn set_state(&mut self, state: State) {
+        self.state = state;
     }
 
-    /// Takes an event at `now`; `chance` is drawn evenly from 0 to 1.
-    pub fn on(&mut self, now: f64, event: Event, chance: f64) -> Act {
+    /// Handles an event at the clock time `now`, seconds; `jitter` is drawn uniformly from 0 to 1.
+    pub fn handle(&mut self, now: f64, event: Event, jitter: f64) -> Effect {
         use State::*;
         match (self.state, event) {
-            (Closed | Lost | Fenced | Waiting { .. }, Event::Wanted) => self.open(),
-            (Waiting { until }, Event::Tick) if now >= until => self.open(),
+            (Closed | GivenUp | Fenced | BackingOff { .. }, Event::ShotRequested) => self.start_open(),
+            (BackingOff { until }, Event::Tick) if now >= until => self.start_open(),
             (Opening, Event::Opened) => {
                 self.attempts = 0;
-                self.shift(Up);
-                Act::Nothing
+                self.set_state(Up);
+                Effect::Nothing
             }
-            (Opening, Event::Failed) => {
+            (Opening, Event::OpenFailed) => {
                 if self.down_since == f64::NEG_INFINITY {
                     self.down_since = now;
                 }
-                self.wait(now, chance)
+                self.back_off(now, jitter)
             }
-            (Up, Event::Broke) => {
+            (Up, Event::ConnectionLost) => {
                 (self.attempts, self.down_since) = (0, now);
-                self.wait(now, chance)
+                self.back_off(now, jitter)
             }
-            (Up | Waiting { .. }, Event::Idle) => {
+            (Up | BackingOff { .. }, Event::IdleClosed) => {
                 self.down_since = f64::NEG_INFINITY;
-                self.shift(Closed);
-                Act::Nothing
+                self.set_state(Closed);
+                Effect::Nothing
             }
-            // What is up goes on, and is not missed when it ends.
-            (Up | Closed | Lost | Waiting { .. }, Event::Shut) => {
-                self.shift(Fenced);
-                Act::Nothing
+            // An association that is up keeps serving its live commands, and its end causes no reconnect attempts.
+            (Up | Closed | GivenUp | BackingOff { .. }, Event::NodeUnavailable) => {
+                self.set_state(Fenced);
+                Effect::Nothing
             }
-            (Fenced, Event::Opened | Event::Failed | Event::Broke | Event::Idle) => Act::Nothing,
-            (Fenced, Event::Ready) => {
+            (Fenced, Event::Opened | Event::OpenFailed | Event::ConnectionLost | Event::IdleClosed) => {
+                Effect::Nothing
+            }
+            (Fenced, Event::NodeReady) => {
                 self.down_since = f64::NEG_INFINITY;
-                self.shift(Closed);
-                Act::Nothing
+                self.set_state(Closed);
+                Effect::Nothing
             }
-            (Up, Event::Restarted) => {
-                self.shift(Closed);
-                Act::Retire
+            (Up, Event::NodeRestarted) => {
+                self.set_state(Closed);
+                Effect::Retire
             }
-            (Waiting { .. } | Lost, Event::Restarted) => {
-                // It is another process now, so its loss is over.
+            (BackingOff { .. } | GivenUp, Event::NodeRestarted) => {
+                // The loss was of the earlier process, so the loss timeout starts again for the new one.
                 (self.attempts, self.down_since) = (0, now);
-                self.wait(now, chance)
+                self.back_off(now, jitter)
             }
-            _ => Act::Nothing,
+            _ => Effect::Nothing,
         }
     }
 
-    fn open(&mut self) -> Act {
+    fn start_open(&mut self) -> Effect {
         self.attempts += 1;
-        self.shift(State::Opening);
-        Act::Open
+        self.set_state(State::Opening);
+        Effect::Open
     }
 
-    fn wait(&mut self, now: f64, chance: f64) -> Act {
-        if now - self.down_since >= LOSS_TIME {
-            self.shift(State::Lost);
+    fn back_off(&mut self, now: f64, jitter: f64) -> Effect {
+        if now - self.down_since >= LOSS_TIMEOUT {
+            self.set_state(State::GivenUp);
         } else {
-            let longest = FIRST_WAIT * f64::from(1u32 << self.attempts.min(6));
-            self.shift(State::Waiting { until: now + longest.min(LONGEST_WAIT) * (0.5 + chance) });
+            let delay = BASE_DELAY * f64::from(1u32 << self.attempts.min(6));
+            self.set_state(State::BackingOff { until: now + delay.min(MAX_DELAY) * (0.5 + jitter) });
         }
-        Act::Nothing
+        Effect::Nothing
     }
 }
 
@@ -153,59 +161,61 @@
     use test_case::test_case;
     use Event::*;
 
-    /// Feeds events at whole seconds and gives the last act and state.
-    fn after(events: &[(f64, Event)]) -> (Act, State) {
-        let mut path = Path::default();
-        let mut act = Act::Nothing;
-        for (at, event) in events {
-            act = path.on(*at, *event, 0.5);
+    /// Handles events at the given times, seconds, and returns the last effect and state.
+    fn last_effect_and_state(events: &[(f64, Event)]) -> (Effect, State) {
+        let mut association = NodeAssociation::default();
+        let mut effect = Effect::Nothing;
+        for (time, event) in events {
+            effect = association.handle(*time, *event, 0.5);
         }
-        (act, path.state())
+        (effect, association.state())
     }
 
-    #[test_case(&[(0.0, Wanted)], Act::Open, State::Opening; "opened on need")]
-    #[test_case(&[(0.0, Wanted), (0.1, Wanted)], Act::Nothing, State::Opening; "one attempt at a time")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Idle)], Act::Nothing, State::Closed; "closed when idle")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Idle), (99.0, Tick)], Act::Nothing, State::Closed; "idle is not missed")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke)], Act::Nothing, State::Waiting { until: 9.05 }; "a loss waits a little")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (9.04, Tick)], Act::Nothing, State::Waiting { until: 9.05 }; "not before its time")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (9.06, Tick)], Act::Open, State::Opening; "made again by itself")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (9.01, Wanted)], Act::Open, State::Opening; "the core's wish goes first")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (9.1, Tick), (9.2, Failed)], Act::Nothing, State::Waiting { until: 9.3 }; "waits grow")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (18.0, Tick), (19.0, Failed)], Act::Nothing, State::Lost; "lost after the loss time")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (18.0, Tick), (19.0, Failed), (30.0, Tick)], Act::Nothing, State::Lost; "and left alone")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (18.0, Tick), (19.0, Failed), (30.0, Wanted)], Act::Open, State::Opening; "until the core wants it")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (9.0, Broke), (18.0, Tick), (19.0, Failed), (30.0, Restarted)], Act::Nothing, State::Waiting { until: 30.05 }; "or it started anew")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (5.0, Shut)], Act::Nothing, State::Fenced; "fenced by a drain")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (5.0, Shut), (6.0, Broke), (9.0, Tick)], Act::Nothing, State::Fenced; "a fenced path is not made again")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (5.0, Shut), (6.0, Broke), (9.0, Ready), (9.1, Wanted)], Act::Open, State::Opening; "ready again")]
-    #[test_case(&[(0.0, Wanted), (0.1, Opened), (5.0, Restarted)], Act::Retire, State::Closed; "another process under the same address")]
-    #[test_case(&[(0.0, Wanted), (0.2, Failed)], Act::Nothing, State::Waiting { until: 0.3 }; "never up")]
-    fn transitions(events: &[(f64, Event)], act: Act, state: State) {
-        let (done, at) = after(events);
-        let near = match (at, state) {
-            (State::Waiting { until }, State::Waiting { until: expected }) => (until - expected).abs() < 1e-9,
-            _ => at == state,
+    #[test_case(&[(0.0, ShotRequested)], Effect::Open, State::Opening; "opened for a shot")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, ShotRequested)], Effect::Nothing, State::Opening; "one attempt at a time")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, IdleClosed)], Effect::Nothing, State::Closed; "closed when idle")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, IdleClosed), (99.0, Tick)], Effect::Nothing, State::Closed; "no reconnect after an idle close")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost)], Effect::Nothing, State::BackingOff { until: 9.05 }; "a loss delays the reconnect")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (9.04, Tick)], Effect::Nothing, State::BackingOff { until: 9.05 }; "no reconnect before the delay ends")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (9.06, Tick)], Effect::Open, State::Opening; "automatic reconnect")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (9.01, ShotRequested)], Effect::Open, State::Opening; "a shot reconnects before the delay ends")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (9.1, Tick), (9.2, OpenFailed)], Effect::Nothing, State::BackingOff { until: 9.3 }; "delays grow")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (18.0, Tick), (19.0, OpenFailed)], Effect::Nothing, State::GivenUp; "given up after the loss timeout")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (18.0, Tick), (19.0, OpenFailed), (30.0, Tick)], Effect::Nothing, State::GivenUp; "no automatic reconnect once given up")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (18.0, Tick), (19.0, OpenFailed), (30.0, ShotRequested)], Effect::Open, State::Opening; "a shot reconnects once given up")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (9.0, ConnectionLost), (18.0, Tick), (19.0, OpenFailed), (30.0, NodeRestarted)], Effect::Nothing, State::BackingOff { until: 30.05 }; "a node restart resumes reconnecting")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (5.0, NodeUnavailable)], Effect::Nothing, State::Fenced; "fenced when the node drains")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (5.0, NodeUnavailable), (6.0, ConnectionLost), (9.0, Tick)], Effect::Nothing, State::Fenced; "no automatic reconnect while fenced")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (5.0, NodeUnavailable), (6.0, ConnectionLost), (9.0, NodeReady), (9.1, ShotRequested)], Effect::Open, State::Opening; "a ready node is no longer fenced")]
+    #[test_case(&[(0.0, ShotRequested), (0.1, Opened), (5.0, NodeRestarted)], Effect::Retire, State::Closed; "a restarted node gets a new association")]
+    #[test_case(&[(0.0, ShotRequested), (0.2, OpenFailed)], Effect::Nothing, State::BackingOff { until: 0.3 }; "first attempt fails")]
+    fn transitions(events: &[(f64, Event)], effect: Effect, state: State) {
+        let (actual_effect, actual_state) = last_effect_and_state(events);
+        let state_matches = match (actual_state, state) {
+            (State::BackingOff { until }, State::BackingOff { until: expected }) => {
+                (until - expected).abs() < 1e-9
+            }
+            _ => actual_state == state,
         };
-        assert!(done == act && near, "{done:?} {at:?}");
+        assert!(actual_effect == effect && state_matches, "{actual_effect:?} {actual_state:?}");
     }
 
-    /// However the waits are drawn, attempts of its own are few: a node that is gone is not knocked at for ever.
+    /// Guards against endless connection attempts to a node that stays down: automatic attempts are bounded for any jitter.
     #[test]
-    fn attempts_of_its_own_are_bounded() {
+    fn automatic_attempts_are_bounded() {
         for seed in 0..20 {
-            let (mut path, mut opens) = (Path::default(), 0);
-            path.on(0.0, Wanted, 0.0);
-            path.on(0.0, Opened, 0.0);
-            path.on(0.0, Broke, f64::from(seed) / 20.0);
+            let (mut association, mut open_count) = (NodeAssociation::default(), 0);
+            association.handle(0.0, ShotRequested, 0.0);
+            association.handle(0.0, Opened, 0.0);
+            association.handle(0.0, ConnectionLost, f64::from(seed) / 20.0);
             for tick in 0..4000 {
                 let now = f64::from(tick) * 0.01;
-                if path.on(now, Tick, f64::from(seed) / 20.0) == Act::Open {
-                    opens += 1;
-                    path.on(now, Failed, f64::from(seed) / 20.0);
+                if association.handle(now, Tick, f64::from(seed) / 20.0) == Effect::Open {
+                    open_count += 1;
+                    association.handle(now, OpenFailed, f64::from(seed) / 20.0);
                 }
             }
-            assert!((5..30).contains(&opens) && path.state() == State::Lost, "{opens}");
+            assert!((5..30).contains(&open_count) && association.state() == State::GivenUp, "{open_count}");
         }
     }
 }
--- a/crates/initiator/src/subsystem.rs
+++ b/crates/initiator/src/subsystem.rs
@@ -1,17 +1,17 @@
-//! What a gateway shows its clients.
+//! The NVMe subsystem that a gateway presents to its clients.
 
 use quaypath_nvme::admin::{Group, Kind, View};
 use quaypath_settings::Deployment;
 
-/// What this gateway shows its clients: volumes as namespaces, all of one group.
-pub struct Face<'a> {
+/// Presents the volumes of a deployment as namespaces of one subsystem, all in one ANA group.
+pub struct GatewaySubsystem<'a> {
     pub deployment: &'a Deployment,
 }
 
-/// Name of the gateway as a subsystem.
+/// NVMe qualified name of the gateway's subsystem.
 pub const SUBSYSTEM_NQN: &str = "nqn.2026-12.example.quaypath:gateway";
 
-impl View for Face<'_> {
+impl View for GatewaySubsystem<'_> {
     fn kind(&self) -> Kind {
         Kind::Io
     }
@@ -19,8 +19,8 @@
         SUBSYSTEM_NQN
     }
     fn namespaces(&self, after: u32) -> Vec<(u32, u64)> {
-        let above = self.deployment.volumes.range(after.saturating_add(1)..);
-        above.take(1024).map(|(id, volume)| (*id, volume.size)).collect()
+        let following = self.deployment.volumes.range(after.saturating_add(1)..);
+        following.take(1024).map(|(id, volume)| (*id, volume.size)).collect()
     }
     fn blocks(&self, nsid: u32) -> Option<u64> {
         self.deployment.volumes.get(&nsid).map(|volume| volume.size)
