--- a/crates/initiator/src/counts.rs
+++ b/crates/initiator/src/counts.rs
@@ -1,46 +1,58 @@
-//! What an instance counts.
+//! Counters of an instance.
 
 use crate::polls::PollSummary;
 
-/// What an instance counted since its start.
+/// Counters of an instance since its start. The field names are the keys of the logged JSON.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counts {
+    /// Transactions accepted and passed to the core.
     pub taken: u64,
+    /// Commands refused before the core, because a bound of this instance was reached.
     pub turned_away: u64,
+    /// Transactions settled by a node.
     pub settled: u64,
     pub declined: u64,
     pub scrapped: u64,
-    pub lapsed: u64,
+    /// Transactions cancelled by their client.
+    #[serde(rename = "lapsed")]
+    pub cancelled: u64,
     pub shots: u64,
+    /// Shots after the first one of their transaction.
     pub further: u64,
-    /// Late answers recognised and dropped.
+    /// Late answers that were recognised and dropped.
     pub late_answers: u64,
-    /// Commands withdrawn from our own queue before their first byte left.
+    /// Commands withdrawn from the output queue before their first byte was sent.
     pub withdrawn: u64,
+    /// Associations with nodes that were opened or attempted.
     pub connects: u64,
     pub connects_failed: u64,
-    /// Connections reset because bytes for a draining node had not left in time.
+    /// Connections reset because bytes for a draining node had not been sent by the end of the drain grace.
     pub drain_resets: u64,
-    /// Associations with nodes given up for want of a sign of life.
+    /// Associations with nodes closed because the node did not answer a Keep Alive in time.
     pub keep_alive_lost: u64,
+    /// Times that the loop had no turn for longer than the stall threshold.
     pub stalls: u64,
-    /// The longest time without a turn, seconds.
+    /// Longest time without a turn of the loop, seconds.
     pub longest_stall: f64,
-    /// How long the loop's tasks ran at a time since the last report, microseconds.
+    /// Durations of the polls of the loop's tasks since the last report.
     pub polls: PollSummary,
-    /// Node lists that a newer one took the place of before they were on disk.
+    /// Node lists that a newer one replaced before they were written to disk.
     pub superseded: u64,
-    /// Calls of the kernel that read or wrote on clients' and nodes' connections.
+    /// System calls that read from connections of clients and nodes.
     pub reads: u64,
+    /// System calls that wrote to connections of clients and nodes.
     pub writes: u64,
-    /// Seconds of CPU spent in the core.
+    /// Time spent in calls of the core, seconds.
     pub core_seconds: f64,
+    /// Transactions that are open now.
     pub open: usize,
+    /// Connections of clients and nodes that are open now.
     pub connections: usize,
-    /// Volumes and ordered keys that the core holds.
+    /// Volumes that the core tracks now.
     pub volumes: usize,
+    /// Ordering keys that the core tracks now.
     pub keys: usize,
-    /// Of what initiators tell and lend each other, where they talk.
+    /// Counters of the signals between initiators; none when the settings switch them off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub signals: Option<quaypath_fleet::signal::SignalCounts>,
 }
--- a/crates/initiator/src/event_loop.rs
+++ b/crates/initiator/src/event_loop.rs
@@ -1,9 +1,10 @@
-//! Turns of one loop: its clock, its timers, waits, and reading without waiting. Knows nothing of what takes them.
+//! The event loop of one instance: its clock, its timers, waits, and non-blocking reads. It is independent of the
+//! protocol of the instance.
 //!
-//! A turn is one task's run from the executor: the clock is read once at its start. After a time without turns
-//! the reactor wakes all that is ready; the timers' task then lets every reader have a turn first, so that an
-//! answer that had come is read before its time-out is rung. Within one socket order is kept; across sockets
-//! the kernel does not tell it.
+//! A turn is one run of a task by the executor; the clock is read once at its start. After the process was suspended,
+//! the reactor wakes every task that is ready. The timer task then lets all reading tasks run first, so that an answer
+//! that has already arrived is read before its timeout fires. The order within one socket is kept; the kernel does not
+//! report the order across sockets.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -20,32 +21,34 @@
 
 use crate::polls::yield_if_spent;
 
-/// Most that is read at once.
+/// Size of the read buffer, and so the limit of one read, bytes.
 pub const MAX_READ_BYTES: usize = 256 << 10;
 
-/// Wakes one waiting task of the same thread; a word said before the wait is not lost.
+/// Wakes one waiting task of the same thread. A notification that is sent before the wait begins is kept.
 #[derive(Default)]
 pub struct Notify {
-    told: Cell<bool>,
+    notified: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl Notify {
+    /// Wakes the waiting task, or makes the next wait return at once.
     pub fn notify(&self) {
-        self.told.set(true);
+        self.notified.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
-    /// Takes back a word that nobody has heard yet.
+    /// Withdraws a notification that no task has received yet.
     pub fn clear(&self) {
-        self.told.set(false);
+        self.notified.set(false);
     }
 
+    /// Waits for a notification and consumes it.
     pub async fn wait(&self) {
         std::future::poll_fn(|context: &mut Context| {
-            if self.told.take() {
+            if self.notified.take() {
                 return Poll::Ready(());
             }
             *self.waker.borrow_mut() = Some(context.waker().clone());
@@ -55,44 +58,46 @@
     }
 }
 
-/// What is not done within so many seconds has timed out.
-pub async fn with_timeout<R>(seconds: f64, done: impl Future<Output = io::Result<R>>) -> io::Result<R> {
-    let late = async {
+/// Awaits `work`, and fails with `TimedOut` when it has not completed within `seconds`.
+pub async fn with_timeout<R>(seconds: f64, work: impl Future<Output = io::Result<R>>) -> io::Result<R> {
+    let timeout = async {
         Timer::after(Duration::from_secs_f64(seconds)).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    done.or(late).await
+    work.or(timeout).await
 }
 
-/// An instance that works by turns: NVMe/TCP's here, and any other way in and out on the same core.
+/// An instance that an event loop drives: the NVMe/TCP gateway of this crate, or a gateway of another protocol over the
+/// same core.
 pub trait Driver {
     /// Reads the clock.
     fn begin_turn(&mut self);
-    /// Feeds the core all that happened and carries out what it asks for.
+    /// Passes all pending events to the core and carries out the actions that it requests.
     fn finish_turn(&mut self);
-    /// The clock as it is, between turns.
+    /// The current clock time outside a turn, seconds.
     fn clock_now(&self) -> f64;
+    /// Clock time of the earliest timer, seconds; none when no timer is set.
     fn next_timer(&self) -> Option<f64>;
-    /// Told when the next timer has changed.
+    /// Notified when the time of the earliest timer has changed.
     fn timer_changed(&self) -> Rc<Notify>;
-    /// Takes note of all timers that are due.
+    /// Handles all timers that are due.
     fn fire_timers(&mut self);
 }
 
-/// One turn: clock, what happened, core, output.
-pub fn run_turn<T: Driver, R>(instance: &Rc<RefCell<T>>, act: impl FnOnce(&mut T) -> R) -> R {
+/// Runs one turn of an instance: reads the clock, performs `action`, then lets the core and the output follow.
+pub fn run_turn<T: Driver, R>(instance: &Rc<RefCell<T>>, action: impl FnOnce(&mut T) -> R) -> R {
     let mut this = instance.borrow_mut();
-    let before = this.next_timer();
+    let timer_before = this.next_timer();
     this.begin_turn();
-    let result = act(&mut this);
+    let result = action(&mut this);
     this.finish_turn();
-    if this.next_timer() != before {
+    if this.next_timer() != timer_before {
         this.timer_changed().notify();
     }
     result
 }
 
-/// The next connection of a listener.
+/// Accepts the next connection of a listener. Errors are logged and retried.
 pub async fn accept_next(listener: &Async<TcpListener>) -> (Rc<Async<TcpStream>>, SocketAddr) {
     loop {
         match listener.accept().await {
@@ -101,7 +106,8 @@
                 return (Rc::new(stream), peer);
             }
             Err(error) => {
-                // Out of descriptors, most likely: without a wait this loop would take the whole thread.
+                // The process is most likely out of file descriptors. Without a delay, this loop would use the whole
+                // time of the thread.
                 warn!(%error, "cannot accept");
                 Timer::after(Duration::from_millis(50)).await;
             }
@@ -110,23 +116,23 @@
 }
 
 thread_local! {
-    /// One read buffer for all connections of the thread: it is only used within one poll.
+    /// Read buffer that all connections of the thread share; it is only used within one poll.
     static BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_READ_BYTES]);
 }
 
-/// What a read brought.
+/// Result of a read.
 pub enum Received<R> {
-    /// What was made of the bytes.
+    /// Result of the callback that was given the bytes.
     Bytes(R),
-    /// The peer sends no more.
+    /// The peer has closed its sending side.
     End,
 }
 
-/// Hands what is there, `most` bytes of it, to `take`, without waiting; none where nothing is.
+/// Reads at most `max_bytes` bytes without waiting and passes them to `take`; returns none when no bytes are available.
 pub fn try_read<R>(
-    mut stream: &TcpStream, most: usize, take: impl FnOnce(&[u8]) -> R,
+    mut stream: &TcpStream, max_bytes: usize, take: impl FnOnce(&[u8]) -> R,
 ) -> io::Result<Option<Received<R>>> {
-    BUFFER.with_borrow_mut(|buffer| match stream.read(&mut buffer[..most.min(MAX_READ_BYTES)]) {
+    BUFFER.with_borrow_mut(|buffer| match stream.read(&mut buffer[..max_bytes.min(MAX_READ_BYTES)]) {
         Ok(0) => Ok(Some(Received::End)),
         Ok(count) => Ok(Some(Received::Bytes(take(&buffer[..count])))),
         Err(error) => match error.kind() {
@@ -136,39 +142,44 @@
     })
 }
 
-/// Bytes that have come on a connection by now and were not read yet.
+/// Number of bytes in the kernel's receive buffer of a connection.
 pub fn unread_bytes(stream: &TcpStream) -> io::Result<usize> {
     let count = rustix::io::ioctl_fionread(stream)?;
     Ok(usize::try_from(count).unwrap_or(usize::MAX))
 }
 
-/// Waits for bytes and hands them to `take`. A peer that sends without end never lets a read wait, and the time-out of
-/// whoever reads on would not be looked at either: so each read first sees whether the poll has used up its time.
+/// Waits for bytes and passes at most `max_bytes` of them to `take`. Before each read, the task yields if its poll has used up
+/// its time budget: a peer that sends without end never makes a read wait, so neither other tasks nor the timeout of
+/// the caller would otherwise run.
 pub async fn read_some<R>(
-    stream: &Async<TcpStream>, most: usize, mut take: impl FnMut(&[u8]) -> R,
+    stream: &Async<TcpStream>, max_bytes: usize, mut take: impl FnMut(&[u8]) -> R,
 ) -> io::Result<Received<R>> {
     loop {
         yield_if_spent().await;
-        match try_read(stream.get_ref(), most, &mut take)? {
-            Some(came) => return Ok(came),
+        match try_read(stream.get_ref(), max_bytes, &mut take)? {
+            Some(received) => return Ok(received),
             None => stream.readable().await?,
         }
     }
 }
 
-/// How late a timer may be before the sockets are looked at once more, seconds.
-const LATE: f64 = 0.005;
-/// A wait that only the reactor ends, by a look at the sockets.
-const ANOTHER_LOOK: Duration = Duration::from_micros(300);
+/// Delay of a timer from which the sockets are polled once more before it fires, seconds.
+const LATE_TIMER: f64 = 0.005;
+/// Wait that only the reactor can end, so that it polls the sockets.
+const REACTOR_POLL_WAIT: Duration = Duration::from_micros(300);
 
-/// Rings the timers of an instance for as long as it lives.
+/// Fires the timers of an instance until the instance is dropped.
 pub async fn run_timers<T: Driver>(instance: Weak<RefCell<T>>) {
     loop {
-        let (due, wait, wake) = {
+        let (due, wait, timer_changed) = {
             let Some(this) = instance.upgrade() else { return };
             let this = this.borrow();
             let (due, now) = (this.next_timer(), this.clock_now());
-            (due, due.map(|at| Duration::from_secs_f64((at - now).clamp(0.0, 3600.0))), this.timer_changed())
+            (
+                due,
+                due.map(|due_time| Duration::from_secs_f64((due_time - now).clamp(0.0, 3600.0))),
+                this.timer_changed(),
+            )
         };
         match wait {
             Some(wait) if wait.is_zero() => {}
@@ -176,23 +187,23 @@
                 let timer = async {
                     Timer::after(wait).await;
                 };
-                timer.or(wake.wait()).await;
+                timer.or(timer_changed.wait()).await;
             }
-            None => wake.wait().await,
+            None => timer_changed.wait().await,
         }
-        // The process may have stood still between the reactor's last look at the sockets and now: what came
-        // meanwhile is only seen by another look, and goes before what is late by the same standstill. One look is
-        // enough, as what comes behind it came after the timer's time; to go on until a look is quick would keep the
-        // timers for as long as the loop is busy.
-        if let Some(at) = due.filter(|at| at.is_finite()) {
+        // The process may have been suspended between the reactor's last poll of the sockets and now. Bytes that
+        // arrived meanwhile are only seen by another poll, and they are handled before the timers that the same
+        // suspension delayed. One poll is enough, because bytes that arrive after it arrived after the timer's due
+        // time. Polling until a poll is quick would delay the timers for as long as the loop is busy.
+        if let Some(due_time) = due.filter(|due_time| due_time.is_finite()) {
             let Some(this) = instance.upgrade() else { return };
-            let late = this.borrow().clock_now() - at > LATE;
+            let is_late = this.borrow().clock_now() - due_time > LATE_TIMER;
             drop(this);
-            if late {
-                Timer::after(ANOTHER_LOOK).await;
+            if is_late {
+                Timer::after(REACTOR_POLL_WAIT).await;
             }
         }
-        // All that the reactor woke together with us goes first, answers among it.
+        // All tasks that the reactor woke together with this one run first, among them those that read answers.
         yield_now().await;
         yield_now().await;
         let Some(this) = instance.upgrade() else { return };
--- a/crates/initiator/src/index.rs
+++ b/crates/initiator/src/index.rs
@@ -1,46 +1,46 @@
-//! Where a block range lies: (namespace, logical block) to node and extent.
+//! The placement index: maps a namespace and a logical block to a node and an extent.
 //!
-//! Ranges do not overlap and change only when settings are loaded, so they are kept as sorted starts in the order of
-//! a breadth-first walk through a binary tree (Eytzinger), which a search follows from the front of the memory to its
-//! back: about half the cache misses of a binary search over the sorted starts. Measured against a sorted `Vec` and a
-//! `BTreeMap` in `benches/index.rs`. What no range covers lies where the layout's arithmetic says.
+//! Ranges do not overlap and change only when settings are loaded. Their starts are therefore kept in Eytzinger order,
+//! the breadth-first order of a binary search tree, which a search traverses from the front of the memory to its back.
+//! This causes about half the cache misses of a binary search over sorted starts. `benches/index.rs` compares it with a
+//! sorted `Vec` and a `BTreeMap`. Blocks outside all ranges are placed by the arithmetic of the layout.
 
 use std::collections::HashMap;
 
 use quaypath_settings::Deployment;
 
-/// Where a block lies.
+/// The placement of a logical block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Part of the data, which one node holds.
+    /// Number of the block (the part of the data that one node holds).
     pub block: i64,
-    /// Number of the extent in its volume.
+    /// Number of the extent within its volume.
     pub extent: u64,
-    /// Blocks from the one asked for to the end of the extent.
-    pub left: u64,
+    /// Logical blocks from the requested one to the end of the extent.
+    pub remaining: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Range {
-    from: u64,
+    start: u64,
     end: u64,
     node: i64,
-    number: u64,
+    extent: u64,
 }
 
-/// Ranges of one volume.
+/// Explicitly placed ranges of one volume.
 #[derive(Clone, Debug, Default)]
 pub struct Ranges {
-    /// Starts in breadth-first order from place 1 on, and the ranges beside them.
+    /// Starts in Eytzinger order from position 1 on. `ranges` has the same order.
     starts: Vec<u64>,
     ranges: Vec<Range>,
 }
 
-/// Extents of explicit ranges are numbered from here, apart from those of the layout's arithmetic.
-const OWN: u64 = 1 << 32;
+/// Number of the first extent of an explicit range. It separates these extents from those of the layout's arithmetic.
+const EXPLICIT_EXTENTS_START: u64 = 1 << 32;
 
 impl Ranges {
-    /// From (start, blocks, node), sorted by start and without overlap.
+    /// Builds the index from (start, blocks, node) triples that are sorted by start and do not overlap.
     pub fn new(sorted: &[(u64, u64, i64)]) -> Self {
         let mut ranges =
             Ranges { starts: vec![0; sorted.len() + 1], ranges: vec![Range::default(); sorted.len() + 1] };
@@ -49,67 +49,73 @@
         ranges
     }
 
-    fn fill(&mut self, sorted: &[(u64, u64, i64)], next: &mut usize, at: usize) {
-        if at > sorted.len() {
+    fn fill(&mut self, sorted: &[(u64, u64, i64)], next: &mut usize, position: usize) {
+        if position > sorted.len() {
             return;
         }
-        self.fill(sorted, next, 2 * at);
-        let (from, blocks, node) = sorted[*next];
-        self.starts[at] = from;
-        self.ranges[at] = Range { from, end: from + blocks, node, number: OWN + *next as u64 };
+        self.fill(sorted, next, 2 * position);
+        let (start, blocks, node) = sorted[*next];
+        self.starts[position] = start;
+        self.ranges[position] =
+            Range { start, end: start + blocks, node, extent: EXPLICIT_EXTENTS_START + *next as u64 };
         *next += 1;
-        self.fill(sorted, next, 2 * at + 1);
+        self.fill(sorted, next, 2 * position + 1);
     }
 
-    /// The range that holds a block: start, end, node and number of the extent.
+    /// The range that contains a logical block, as (start, end, node, extent number).
     pub fn find(&self, block: u64) -> Option<(u64, u64, i64, u64)> {
-        let mut at = 1;
-        while at < self.starts.len() {
-            at = 2 * at + usize::from(self.starts[at] <= block);
+        let mut position = 1;
+        while position < self.starts.len() {
+            position = 2 * position + usize::from(self.starts[position] <= block);
         }
-        // The last step to the right led past the greatest start that is not above the block.
-        at >>= at.trailing_zeros() + 1;
-        let range = self.ranges.get(at).filter(|range| at > 0 && block < range.end)?;
-        Some((range.from, range.end, range.node, range.number))
+        // The search descended to the right for the last time at the greatest start that is not above the block.
+        position >>= position.trailing_zeros() + 1;
+        let range = self.ranges.get(position).filter(|range| position > 0 && block < range.end)?;
+        Some((range.start, range.end, range.node, range.extent))
     }
 
-    /// The first start above a block.
+    /// The first range start above a logical block.
     fn next_start(&self, block: u64) -> Option<u64> {
-        let mut at = 1;
-        while at < self.starts.len() {
-            at = 2 * at + usize::from(self.starts[at] <= block);
+        let mut position = 1;
+        while position < self.starts.len() {
+            position = 2 * position + usize::from(self.starts[position] <= block);
         }
-        at >>= (!at).trailing_zeros() + 1;
-        (at > 0).then(|| self.starts[at])
+        position >>= (!position).trailing_zeros() + 1;
+        (position > 0).then(|| self.starts[position])
     }
 }
 
-/// The index of one deployment.
+/// The placement index of one deployment.
 #[derive(Debug)]
 pub struct Index {
-    own: HashMap<u32, Ranges>,
+    /// Ranges by volume, for volumes that have explicit placements.
+    explicit: HashMap<u32, Ranges>,
 }
 
 impl Index {
     pub fn new(deployment: &Deployment) -> Self {
         let mut lists: HashMap<u32, Vec<(u64, u64, i64)>> = HashMap::new();
-        for one in &deployment.placements {
-            lists.entry(one.volume).or_default().push((one.from, one.blocks, one.node));
+        for placement in &deployment.placements {
+            lists.entry(placement.volume).or_default().push((
+                placement.from,
+                placement.blocks,
+                placement.node,
+            ));
         }
-        Index { own: lists.into_iter().map(|(volume, list)| (volume, Ranges::new(&list))).collect() }
+        Index { explicit: lists.into_iter().map(|(volume, list)| (volume, Ranges::new(&list))).collect() }
     }
 
-    /// Where a block of a volume lies; none past the volume's end.
+    /// The placement of a logical block of a volume; none past the end of the volume.
     pub fn place(&self, deployment: &Deployment, volume: u32, slba: u64) -> Option<Place> {
-        let of = deployment.volumes.get(&volume).filter(|of| slba < of.size)?;
-        let own = self.own.get(&volume);
-        if let Some((_, end, node, extent)) = own.and_then(|ranges| ranges.find(slba)) {
-            return Some(Place { block: node, extent, left: end - slba });
+        let settings = deployment.volumes.get(&volume).filter(|settings| slba < settings.size)?;
+        let explicit = self.explicit.get(&volume);
+        if let Some((_, end, node, extent)) = explicit.and_then(|ranges| ranges.find(slba)) {
+            return Some(Place { block: node, extent, remaining: end - slba });
         }
-        let (extent, block) = deployment.place(of, slba);
-        let end = ((extent + 1) * deployment.extent_blocks).min(of.size);
-        let end = own.and_then(|ranges| ranges.next_start(slba)).map_or(end, |next| end.min(next));
-        Some(Place { block, extent, left: end - slba })
+        let (extent, block) = deployment.place(settings, slba);
+        let end = ((extent + 1) * deployment.extent_blocks).min(settings.size);
+        let end = explicit.and_then(|ranges| ranges.next_start(slba)).map_or(end, |next| end.min(next));
+        Some(Place { block, extent, remaining: end - slba })
     }
 }
 
@@ -121,20 +127,20 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
-        /// Against a plain look through all ranges.
+        /// Compares the index with a linear search through all ranges.
         #[test]
-        fn as_a_plain_list(gaps in proptest::collection::vec((0..5u64, 1..6u64), 0..70), asked in 0..600u64) {
-            let (mut list, mut at) = (Vec::new(), 0);
-            for (nth, (gap, blocks)) in gaps.iter().enumerate() {
-                list.push((at + gap, *blocks, nth as i64));
-                at += gap + blocks;
+        fn finds_like_a_linear_search(gaps in proptest::collection::vec((0..5u64, 1..6u64), 0..70), block in 0..600u64) {
+            let (mut list, mut start) = (Vec::new(), 0);
+            for (node, (gap, blocks)) in gaps.iter().enumerate() {
+                list.push((start + gap, *blocks, node as i64));
+                start += gap + blocks;
             }
             let ranges = Ranges::new(&list);
-            let plain = list.iter().find(|(from, blocks, _)| (*from..from + blocks).contains(&asked));
-            let found = ranges.find(asked).map(|(from, end, node, _)| (from, end - from, node));
-            prop_assert_eq!(found, plain.copied());
-            let next = list.iter().map(|(from, ..)| *from).find(|from| *from > asked);
-            prop_assert_eq!(ranges.next_start(asked), next);
+            let expected = list.iter().find(|(from, blocks, _)| (*from..from + blocks).contains(&block));
+            let found = ranges.find(block).map(|(from, end, node, _)| (from, end - from, node));
+            prop_assert_eq!(found, expected.copied());
+            let next = list.iter().map(|(from, ..)| *from).find(|from| *from > block);
+            prop_assert_eq!(ranges.next_start(block), next);
         }
     }
 }
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -38,8 +38,8 @@
 use crate::net;
 use crate::node_association::{Effect, Event as AssociationEvent, NodeAssociation};
 use crate::node_list::{ListSnapshot, ListedNode, NodeList, RegisterCall};
-use crate::outcome::{outcome, Ended, Progress};
-use crate::peer::{write_out, Stuck};
+use crate::outcome::{outcome, Progress, ShotEnd};
+use crate::peer::{write_output, StallDetector};
 use crate::peer_signals::Shares;
 use crate::polls::{spawn, take_summary, Peer, TaskKind};
 use crate::run::Options;
@@ -63,7 +63,7 @@
     List(ListScope, Vec<ListedNode>),
     Taken(u64),
     /// Transaction, shot, what ended it, and what the answer told.
-    Back(u64, u32, Ended, Told),
+    Back(u64, u32, ShotEnd, Told),
     Lapsed(u64),
     Rang(u64),
     /// A member's signal.
@@ -116,7 +116,7 @@
     open: HashMap<u16, u64>,
     /// Read data that its open commands will bring.
     asked: usize,
-    stuck: Stuck,
+    stall: StallDetector,
     blocked: bool,
 }
 
@@ -137,7 +137,7 @@
     /// Commands whose bytes are in `current`: where each starts and ends there, and its id.
     leaving: VecDeque<(usize, usize, u16)>,
     shots: HashMap<u16, (u64, u32)>,
-    stuck: Stuck,
+    stall: StallDetector,
     used_at: f64,
     blocked: bool,
     /// No more commands: its queue is full of ids whose late answers never came.
@@ -238,7 +238,7 @@
         for timer in due {
             match timer {
                 Timer::Core(tag) => self.events.push_back(Happened::Rang(tag)),
-                Timer::Stop(id, shot) => self.end_shot(id, shot, Ended::TimeUp, Told::default()),
+                Timer::Stop(id, shot) => self.end_shot(id, shot, ShotEnd::TimedOut, Told::default()),
                 Timer::Grace(node) => self.grace_over(&node),
                 // Set again when what happened is settled.
                 Timer::Share => {}
@@ -437,7 +437,7 @@
         match action {
             Action::Send(id, stop_at, node) => self.send(id, stop_at, node),
             Action::Cancel(id, shot) => {
-                self.end_shot(id, shot, Ended::CalledOff, Told::default());
+                self.end_shot(id, shot, ShotEnd::Cancelled, Told::default());
             }
             Action::Decline(id, come_back) => {
                 let told = (come_back * 1e3).round().clamp(0.0, f64::from(u32::MAX)) as u32;
@@ -476,26 +476,26 @@
 
     fn sweep(&mut self) {
         let (now, waits) = (self.now, self.deployment.connections.clone());
-        let stuck = |stuck: &Stuck| stuck.longer_than(now, waits.half_pdu);
+        let stall = |stall: &StallDetector| stall.stalled_longer_than(now, waits.half_pdu);
         let fronts: Vec<u64> =
-            self.fronts.iter().filter(|(_, front)| stuck(&front.stuck)).map(|(at, _)| *at).collect();
+            self.fronts.iter().filter(|(_, front)| stall(&front.stall)).map(|(at, _)| *at).collect();
         for connection in fronts {
             warn!(connection, "closed: the client left a PDU unfinished or does not read");
             // What a client does not read would stay in the kernel for as long as it stays.
             let stream = self.fronts[&connection].stream.clone();
             let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(std::time::Duration::ZERO));
-            self.front_closed(connection);
+            self.client_closed(connection);
         }
         for connection in self.associations.lost(now) {
             info!(connection, "closed: nothing was heard of the client for its keep alive time-out");
-            self.front_closed(connection);
+            self.client_closed(connection);
         }
         self.keep_alive();
         let backs: Vec<u64> =
-            self.backs.iter().filter(|(_, back)| stuck(&back.stuck)).map(|(at, _)| *at).collect();
+            self.backs.iter().filter(|(_, back)| stall(&back.stall)).map(|(at, _)| *at).collect();
         for connection in backs {
             warn!(connection, "closed: the node left a PDU unfinished or does not read");
-            self.back_closed(connection);
+            self.node_closed(connection);
         }
         let idle = |back: &Back| {
             back.machine.live() == 0
@@ -522,7 +522,7 @@
             // Closed by us for want of use: not a loss.
             node.into_iter()
                 .for_each(|node| self.handle_association_event(&node, AssociationEvent::IdleClosed));
-            self.back_closed(connection);
+            self.node_closed(connection);
         }
         let listed = self.nodes.iter().filter(|(_, node)| node.shut_since.is_none());
         let names: Vec<NodeId> = listed.map(|(name, _)| name.clone()).collect();
@@ -537,7 +537,7 @@
     }
 
     /// The counts, with what is open now.
-    pub fn counted(&mut self) -> Counts {
+    pub fn current_counts(&mut self) -> Counts {
         (self.counts.open, self.counts.connections) = (self.open.len(), self.fronts.len() + self.backs.len());
         (self.counts.volumes, self.counts.keys) = self.core.accounts();
         self.counts.superseded = self.keeper.superseded();
@@ -565,7 +565,7 @@
             if back.keeping.is_some() && since > wait / 2.0 {
                 warn!(node = %back.node.0, "closed: the node gave no sign of life for the keep alive time-out");
                 self.counts.keep_alive_lost += 1;
-                self.back_closed(admin);
+                self.node_closed(admin);
             } else if back.keeping.is_none() && since > wait / 3.0 {
                 if let Some((cid, bytes)) = back.machine.submit(plain(opcode::KEEP_ALIVE), Vec::new(), 0) {
                     (back.keeping, back.kept_at) = (Some(cid), now);
@@ -578,7 +578,7 @@
 
     // The register.
 
-    pub fn news(&mut self, news: &ListSnapshot) {
+    pub fn list_received(&mut self, news: &ListSnapshot) {
         let known = self.list.take(self.now, news);
         self.keeper.write(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
@@ -635,7 +635,7 @@
             let queued: Vec<_> =
                 queued.flat_map(|back| back.queue.iter().map(|one| (one.id, one.shot))).collect();
             for (id, shot) in waiting.into_iter().chain(queued) {
-                self.end_shot(id, shot, Ended::Lost, Told::default());
+                self.end_shot(id, shot, ShotEnd::ConnectionLost, Told::default());
             }
         }
     }
@@ -672,13 +672,13 @@
             let stream = self.backs[&connection].stream.clone();
             // Zero linger: what the kernel holds is discarded.
             let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(std::time::Duration::ZERO));
-            self.back_closed(connection);
+            self.node_closed(connection);
         }
     }
 
     // Clients.
 
-    pub fn front_opened(&mut self, stream: Rc<Async<TcpStream>>) -> Option<u64> {
+    pub fn client_connected(&mut self, stream: Rc<Async<TcpStream>>) -> Option<u64> {
         if self.fronts.len() >= self.deployment.listen.connections {
             return None;
         }
@@ -690,7 +690,7 @@
             sent: 0,
             open: HashMap::new(),
             asked: 0,
-            stuck: Stuck { unfinished: Some(self.now), unmoved: None },
+            stall: StallDetector { incomplete_since: Some(self.now), unread_since: None },
             blocked: false,
         };
         self.fronts.insert(connection, front);
@@ -698,7 +698,7 @@
     }
 
     /// Bytes of a client. False where the connection is of no more use.
-    pub fn front_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
+    pub fn client_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
         let Some(front) = self.fronts.get_mut(&connection) else { return false };
         let mut events = Vec::new();
         let before = front.machine.whole();
@@ -722,7 +722,7 @@
             }
         }
         if let Some(front) = self.fronts.get_mut(&connection) {
-            front.stuck.read(self.now, progress, front.machine.unfinished());
+            front.stall.record_read(self.now, progress, front.machine.unfinished());
         }
         if !good {
             // The term request still goes out.
@@ -787,7 +787,7 @@
             return self.respond(connection, sqe.cid, status::LBA_RANGE | status::DNR, 0, &[]);
         };
         // One transaction is one node's: a transfer over two extents is the host's to split.
-        if blocks > place.left || length > quaypath_nvme::MAX_DATA {
+        if blocks > place.remaining || length > quaypath_nvme::MAX_DATA {
             return self.respond(connection, sqe.cid, refuse, 0, &[]);
         }
         let (extent, block) = (place.extent, place.block);
@@ -888,7 +888,7 @@
             front.open.remove(&cid);
             front.asked -= read;
         }
-        self.counts.lapsed += 1;
+        self.counts.cancelled += 1;
         self.events.push_back(Happened::Lapsed(id));
         if over {
             // The core still has to be told of it; it needs nothing of ours for that.
@@ -896,14 +896,14 @@
         }
     }
 
-    pub fn front_closed(&mut self, connection: u64) {
+    pub fn client_closed(&mut self, connection: u64) {
         let Some(front) = self.fronts.remove(&connection) else { return };
         let _ = front.stream.get_ref().shutdown(std::net::Shutdown::Both);
         let mut left: Vec<u64> = front.open.into_values().collect();
         left.sort_unstable();
         left.into_iter().for_each(|id| self.lapse(id));
         for other in self.associations.ended(connection) {
-            self.front_closed(other);
+            self.client_closed(other);
         }
     }
 
@@ -919,7 +919,7 @@
         self.counts.shots += 1;
         self.counts.further += u64::from(number > 0);
         if t.client.is_none() || stop_at <= self.now {
-            return self.end_shot(id, number, Ended::TimeUp, Told::default());
+            return self.end_shot(id, number, ShotEnd::TimedOut, Told::default());
         }
         self.timers.set(stop_at, Timer::Stop(id, number));
         let known = self.nodes.entry(node.clone()).or_default();
@@ -943,7 +943,7 @@
         let Some(node) = self.nodes.get_mut(name) else { return };
         match node.node_association.handle(self.now, event, jitter) {
             Effect::Nothing => {}
-            Effect::Open => self.open_link(name.clone()),
+            Effect::Open => self.open_association(name.clone()),
             Effect::Retire => {
                 // Live commands finish there; the next shot makes a new association.
                 if let Link::Up(ios, admin) = std::mem::take(&mut node.link) {
@@ -955,14 +955,14 @@
         }
     }
 
-    fn open_link(&mut self, name: NodeId) {
+    fn open_association(&mut self, name: NodeId) {
         let (Some(executor), Some(node)) = (self.executor.upgrade(), self.nodes.get_mut(&name)) else {
             return;
         };
         node.link = Link::Opening;
         self.counts.connects += 1;
         let peer = Peer::Node(name.0.clone());
-        spawn(&executor, TaskKind::NodeConnection, peer, net::open_link(self.me.clone(), name));
+        spawn(&executor, TaskKind::NodeConnection, peer, net::open_association(self.me.clone(), name));
     }
 
     /// The queue that a shot takes: of those with room, the one with the fewest commands. Which node it goes to and
@@ -1003,7 +1003,7 @@
     }
 
     /// A shot has ended, by whatever: our side of it is cleared, and the core hears of it.
-    fn end_shot(&mut self, id: u64, number: u32, ended: Ended, told: Told) {
+    fn end_shot(&mut self, id: u64, number: u32, ended: ShotEnd, told: Told) {
         let Some(t) = self.open.get_mut(&id) else { return };
         let Some(shot) = t.shot.as_mut().filter(|shot| shot.number == number) else { return };
         match shot.at.take() {
@@ -1018,7 +1018,7 @@
                         back.queue.remove(at);
                         back.machine.withdraw(cid);
                         self.counts.withdrawn += 1;
-                    } else if !matches!(ended, Ended::Answered(_) | Ended::Lost) {
+                    } else if !matches!(ended, ShotEnd::Answered(_) | ShotEnd::ConnectionLost) {
                         back.machine.forget(cid);
                         let node = back.node.clone();
                         self.abort(&node, connection, cid);
@@ -1044,7 +1044,9 @@
     }
 
     /// An association is there: its admin queue first, then its I/O queues. Gives the connections' numbers.
-    pub fn link_opened(&mut self, name: &NodeId, queues: Vec<(Host, Rc<Async<TcpStream>>)>) -> Vec<u64> {
+    pub fn association_opened(
+        &mut self, name: &NodeId, queues: Vec<(Host, Rc<Async<TcpStream>>)>,
+    ) -> Vec<u64> {
         let mut ids = Vec::new();
         for (number, (machine, stream)) in (0..).zip(queues) {
             ids.push(self.next_connection);
@@ -1057,7 +1059,7 @@
                 sent: 0,
                 leaving: VecDeque::new(),
                 shots: HashMap::new(),
-                stuck: Stuck::default(),
+                stall: StallDetector::default(),
                 used_at: self.now,
                 blocked: false,
                 retired: false,
@@ -1079,7 +1081,7 @@
         ids
     }
 
-    pub fn link_failed(&mut self, name: &NodeId, why: &str) {
+    pub fn association_failed(&mut self, name: &NodeId, why: &str) {
         self.counts.connects_failed += 1;
         debug!(node = %name.0, why, "no connection");
         let Some(node) = self.nodes.get_mut(name) else { return };
@@ -1087,17 +1089,17 @@
         let waiting: Vec<_> = node.waiting.drain(..).collect();
         self.handle_association_event(name, AssociationEvent::OpenFailed);
         for (id, number) in waiting {
-            self.end_shot(id, number, Ended::Lost, Told::default());
+            self.end_shot(id, number, ShotEnd::ConnectionLost, Told::default());
         }
     }
 
     /// Bytes of a node. False where the connection is of no more use.
-    pub fn back_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
+    pub fn node_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
         let Some(back) = self.backs.get_mut(&connection) else { return false };
         let mut events = Vec::new();
         let before = back.machine.whole();
         let fed = back.machine.feed(bytes, &mut events);
-        back.stuck.read(self.now, back.machine.whole() > before, back.machine.pending() > 0);
+        back.stall.record_read(self.now, back.machine.whole() > before, back.machine.pending() > 0);
         if !back.machine.out.is_empty() {
             self.dirty.push(connection);
         }
@@ -1108,7 +1110,7 @@
         }
         for event in events {
             match event {
-                host::Event::Done { cid, cqe, data } => self.back_done(connection, cid, cqe, data),
+                host::Event::Done { cid, cqe, data } => self.node_completed(connection, cid, cqe, data),
                 host::Event::Late { .. } => self.counts.late_answers += 1,
                 host::Event::Terminated { status, info } => {
                     warn!(node = %node.0, status, info, "the node ended the connection");
@@ -1120,7 +1122,7 @@
         good
     }
 
-    fn back_done(&mut self, connection: u64, cid: u16, cqe: Cqe, data: Vec<u8>) {
+    fn node_completed(&mut self, connection: u64, cid: u16, cqe: Cqe, data: Vec<u8>) {
         let Some(back) = self.backs.get_mut(&connection) else { return };
         if back.keeping == Some(cid) {
             back.keeping = None;
@@ -1129,7 +1131,7 @@
         // Answers to our Aborts, on the admin queue, decide nothing.
         let Some((id, number)) = back.shots.remove(&cid) else { return };
         let told = Told::of(&cqe);
-        if outcome(Ended::Answered(cqe.status), Progress::Sent) == Outcome::Settled {
+        if outcome(ShotEnd::Answered(cqe.status), Progress::Sent) == Outcome::Settled {
             // The client's answer; the core is told in the same turn that the transaction is over.
             let owed = self.open.get(&id).is_some_and(|t| t.client.is_some());
             if owed {
@@ -1140,10 +1142,10 @@
         if let Some(shot) = self.open.get_mut(&id).and_then(|t| t.shot.as_mut()) {
             shot.at = None;
         }
-        self.end_shot(id, number, Ended::Answered(cqe.status), told);
+        self.end_shot(id, number, ShotEnd::Answered(cqe.status), told);
     }
 
-    pub fn back_closed(&mut self, connection: u64) {
+    pub fn node_closed(&mut self, connection: u64) {
         let Some(back) = self.backs.remove(&connection) else { return };
         let _ = back.stream.get_ref().shutdown(std::net::Shutdown::Both);
         let mut lost: Vec<(u64, u32)> = back.shots.into_values().collect();
@@ -1164,10 +1166,10 @@
             if let Some(shot) = self.open.get_mut(&id).and_then(|t| t.shot.as_mut()) {
                 shot.at = None;
             }
-            self.end_shot(id, number, Ended::Lost, Told::default());
+            self.end_shot(id, number, ShotEnd::ConnectionLost, Told::default());
         }
         // The queues of an association live and die together.
-        peers.into_iter().flatten().for_each(|peer| self.back_closed(peer));
+        peers.into_iter().flatten().for_each(|peer| self.node_closed(peer));
     }
 
     fn close_idle(&mut self, node: &NodeId) {
@@ -1178,7 +1180,7 @@
         if ios.iter().all(idle) {
             let admin = *admin;
             self.handle_association_event(node, AssociationEvent::IdleClosed);
-            self.back_closed(admin);
+            self.node_closed(admin);
         }
     }
 
@@ -1189,15 +1191,15 @@
         if let Some(front) = self.fronts.get_mut(&connection) {
             let before = front.sent;
             let (out, writes) = (&mut front.machine.out, &mut self.counts.writes);
-            match write_out(front.stream.get_ref(), out, &mut front.sent, writes) {
-                Ok(true) => front.stuck.written(self.now, true, false),
+            match write_output(front.stream.get_ref(), out, &mut front.sent, writes) {
+                Ok(true) => front.stall.record_write(self.now, true, false),
                 Ok(false) => {
-                    front.stuck.written(self.now, front.sent > before, true);
+                    front.stall.record_write(self.now, front.sent > before, true);
                     if !std::mem::replace(&mut front.blocked, true) {
                         self.drain_later(connection);
                     }
                 }
-                Err(_) => self.front_closed(connection),
+                Err(_) => self.client_closed(connection),
             }
         } else if self.backs.contains_key(&connection) {
             let (before, now) = (self.backs[&connection].sent, self.now);
@@ -1206,16 +1208,16 @@
                     self.backs
                         .get_mut(&connection)
                         .into_iter()
-                        .for_each(|back| back.stuck.written(now, true, false));
+                        .for_each(|back| back.stall.record_write(now, true, false));
                 }
                 Ok(false) => {
                     let back = self.backs.get_mut(&connection).unwrap();
-                    back.stuck.written(now, back.sent != before, true);
+                    back.stall.record_write(now, back.sent != before, true);
                     if !std::mem::replace(&mut back.blocked, true) {
                         self.drain_later(connection);
                     }
                 }
-                Err(_) => self.back_closed(connection),
+                Err(_) => self.node_closed(connection),
             }
         }
     }
@@ -1223,7 +1225,7 @@
     fn drain_later(&mut self, connection: u64) {
         let stream = self.stream(connection);
         if let (Some(executor), Some(stream)) = (self.executor.upgrade(), stream) {
-            let draining = net::drain(self.me.clone(), connection, stream);
+            let draining = net::resume_when_writable(self.me.clone(), connection, stream);
             spawn(&executor, TaskKind::Drain, Peer::None, draining);
         }
     }
@@ -1234,7 +1236,7 @@
     }
 
     /// The kernel takes bytes again.
-    pub fn unblocked(&mut self, connection: u64) {
+    pub fn writable(&mut self, connection: u64) {
         if let Some(front) = self.fronts.get_mut(&connection) {
             front.blocked = false;
         } else if let Some(back) = self.backs.get_mut(&connection) {
--- a/crates/initiator/src/node_association.rs
+++ b/crates/initiator/src/node_association.rs
@@ -82,8 +82,8 @@
         self.state
     }
 
-    fn set_state(&mut self, state: State) {
-        self.state = state;
+    fn set_state(&mut self, next: State) {
+        self.state = next;
     }
 
     /// Handles an event at the clock time `now`, seconds; `jitter` is drawn uniformly from 0 to 1.
--- a/crates/initiator/src/outcome.rs
+++ b/crates/initiator/src/outcome.rs
@@ -1,84 +1,87 @@
-//! One table from what sockets, timers and status codes say to the core's `Outcome`.
+//! The table that maps socket events, timers and status codes to the core's `Outcome`.
 //!
-//! The line: a shot *may have run* from the moment that its first byte was handed to the kernel until an answer
-//! proves otherwise. Before it, nothing can have run, whatever ended the shot. The kernel may still discard what
-//! it was handed, but nobody tells us; so the line lies there and not at the network.
+//! A shot *may have run* from the moment when its first byte was handed to the kernel until an answer proves otherwise.
+//! Before that moment, it cannot have run, whatever ended the shot. The kernel may still discard bytes that it was
+//! handed, but it does not report this; therefore the handover to the kernel counts, not the network.
 
 use quaypath::types::Outcome;
 use quaypath_nvme::status;
 
-/// How far a shot has come. Every change goes through [`Progress::advance_to`].
+/// Sending progress of a shot. Every change goes through [`Progress::advance_to`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// Waits for a connection.
+    /// The shot waits for a connection.
     Connecting,
-    /// Encoded, in the connection's queue; no byte was handed to the kernel.
+    /// The command is encoded and in the connection's queue; no byte was handed to the kernel.
     Queued,
     /// Some bytes were handed to the kernel.
     PartlySent,
-    /// All bytes were.
+    /// All bytes were handed to the kernel.
     Sent,
 }
 
 impl Progress {
-    /// Moves on; a shot never goes back over the line.
+    /// Moves to a later state; a shot never moves back.
     pub fn advance_to(&mut self, next: Progress) {
         debug_assert!(next > *self, "{self:?} to {next:?}");
         *self = next;
     }
 
+    /// Whether the node may have run the shot.
     pub fn may_have_run(self) -> bool {
         self >= Progress::PartlySent
     }
 }
 
-/// What ended a shot.
+/// Event that ended a shot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// A completion with this status.
+pub enum ShotEnd {
+    /// The node completed the command with this status.
     Answered(u16),
-    /// Its time was up.
-    TimeUp,
-    /// The core called it off.
-    CalledOff,
-    /// Its connection ended, was never made, or its node may not be sent to any more.
-    Lost,
+    /// The shot's time limit was reached.
+    TimedOut,
+    /// The core cancelled the shot.
+    Cancelled,
+    /// The shot's connection ended or could not be opened, or its node became unavailable before the shot was sent.
+    ConnectionLost,
 }
 
-/// The table.
-pub fn outcome(ended: Ended, progress: Progress) -> Outcome {
-    match ended {
-        Ended::Answered(status) => answered(status),
-        // No byte left: the time was up before it was sent.
-        Ended::TimeUp if !progress.may_have_run() => Outcome::Moot,
-        // The node may run it yet, or has and the answer is late.
-        Ended::TimeUp => Outcome::TimedOut,
-        // Withdrawn from our own queue.
-        Ended::CalledOff if !progress.may_have_run() => Outcome::Moot,
-        // Abort is a request: the node may have run it before, or run it all the same.
-        Ended::CalledOff => Outcome::Cancelled,
-        // No connection, or one that ended before the first byte: down, unreachable or out of connections.
-        Ended::Lost if !progress.may_have_run() => Outcome::Unreachable,
-        // Partly written: a whole PDU can be in the kernel though the call took a part of the buffer. Wholly
-        // written: the node may have run it and lost the answer with the connection.
-        Ended::Lost => Outcome::Reset,
+/// The outcome that is reported to the core for a shot.
+pub fn outcome(end: ShotEnd, progress: Progress) -> Outcome {
+    match end {
+        ShotEnd::Answered(status) => outcome_of_status(status),
+        // No byte was sent before the time limit.
+        ShotEnd::TimedOut if !progress.may_have_run() => Outcome::Moot,
+        // The node may still run the shot, or has run it and its answer is late.
+        ShotEnd::TimedOut => Outcome::TimedOut,
+        // The shot was withdrawn from the queue of this gateway.
+        ShotEnd::Cancelled if !progress.may_have_run() => Outcome::Moot,
+        // An Abort is only a request: the node may have run the shot before, or may run it nevertheless.
+        ShotEnd::Cancelled => Outcome::Cancelled,
+        // There was no connection, or it ended before the first byte: the node is down, unreachable or out of
+        // connections.
+        ShotEnd::ConnectionLost if !progress.may_have_run() => Outcome::Unreachable,
+        // If the command was partly written, a whole PDU can be in the kernel although the call took only a part of
+        // the buffer. If it was wholly written, the node may have run it, and the answer was lost with the connection.
+        ShotEnd::ConnectionLost => Outcome::Reset,
     }
 }
 
-fn answered(status: u16) -> Outcome {
+fn outcome_of_status(status: u16) -> Outcome {
     match status::code(status) {
         status::SUCCESS => Outcome::Settled,
-        // A Compare that ran and found a difference: its answer, not a failure.
+        // A Compare command that ran and found a difference: this is its result, not a failure.
         status::COMPARE_FAILURE => Outcome::Settled,
-        // Our targets' word for turned away unseen; a vendor's code, so no other target says it by chance.
+        // Quaypath targets refuse a command unprocessed with these vendor-specific codes, which no other target sends
+        // by chance.
         status::FULL | status::DRAINING => Outcome::Full,
-        // Command Interrupted and Namespace Not Ready promise by the Base Specification that nothing was done
-        // and that a repeat may succeed.
+        // By the Base Specification, Command Interrupted and Namespace Not Ready guarantee that nothing was done and
+        // that a retry may succeed.
         status::INTERRUPTED | status::NAMESPACE_NOT_READY => Outcome::Full,
-        // Aborted by our own request, or since its queue went: it may have been under way.
+        // Aborted on request of this gateway, or because its queue was deleted: the command may have been running.
         status::ABORTED_BY_REQUEST | status::ABORTED_QUEUE_DELETED => Outcome::Cancelled,
-        // Everything else, refusals of a field among them: a plain target need not check before it begins, and a
-        // refusal that is certain gains nothing from another shot.
+        // All other statuses, among them refusals of a field: a target need not check the fields before it begins, and
+        // another shot gains nothing after a certain refusal.
         _ => Outcome::Failed,
     }
 }
@@ -89,25 +92,25 @@
     use test_case::test_case;
     use Progress::*;
 
-    #[test_case(Ended::Lost, Connecting, Outcome::Unreachable; "no connection")]
-    #[test_case(Ended::Lost, Queued, Outcome::Unreachable; "reset before the first byte")]
-    #[test_case(Ended::Lost, PartlySent, Outcome::Reset; "partly written")]
-    #[test_case(Ended::Lost, Sent, Outcome::Reset; "written and reset")]
-    #[test_case(Ended::TimeUp, Queued, Outcome::Moot; "time up in our own queue")]
-    #[test_case(Ended::TimeUp, PartlySent, Outcome::TimedOut; "time up half way")]
-    #[test_case(Ended::TimeUp, Sent, Outcome::TimedOut; "time up")]
-    #[test_case(Ended::CalledOff, Connecting, Outcome::Moot; "called off unsent")]
-    #[test_case(Ended::CalledOff, Sent, Outcome::Cancelled; "called off")]
-    #[test_case(Ended::Answered(status::SUCCESS), Sent, Outcome::Settled; "settled")]
-    #[test_case(Ended::Answered(status::COMPARE_FAILURE), Sent, Outcome::Settled; "a comparison that found a difference")]
-    #[test_case(Ended::Answered(status::TRANSPORT_ERROR), Sent, Outcome::Failed; "data spoilt on the way")]
-    #[test_case(Ended::Answered(status::FULL), Sent, Outcome::Full; "full")]
-    #[test_case(Ended::Answered(status::DRAINING | status::CRD1), Sent, Outcome::Full; "draining, with a delay")]
-    #[test_case(Ended::Answered(status::INTERRUPTED), Sent, Outcome::Full; "interrupted")]
-    #[test_case(Ended::Answered(status::ABORTED_BY_REQUEST), Sent, Outcome::Cancelled; "aborted")]
-    #[test_case(Ended::Answered(status::INTERNAL_ERROR), Sent, Outcome::Failed; "internal error")]
-    #[test_case(Ended::Answered(status::INVALID_FIELD | status::DNR), Sent, Outcome::Failed; "invalid field")]
-    fn table(ended: Ended, progress: Progress, expected: Outcome) {
-        assert_eq!(outcome(ended, progress), expected);
+    #[test_case(ShotEnd::ConnectionLost, Connecting, Outcome::Unreachable; "no connection")]
+    #[test_case(ShotEnd::ConnectionLost, Queued, Outcome::Unreachable; "reset before the first byte")]
+    #[test_case(ShotEnd::ConnectionLost, PartlySent, Outcome::Reset; "partly written")]
+    #[test_case(ShotEnd::ConnectionLost, Sent, Outcome::Reset; "written and then reset")]
+    #[test_case(ShotEnd::TimedOut, Queued, Outcome::Moot; "timed out in the queue of the gateway")]
+    #[test_case(ShotEnd::TimedOut, PartlySent, Outcome::TimedOut; "timed out when partly sent")]
+    #[test_case(ShotEnd::TimedOut, Sent, Outcome::TimedOut; "timed out")]
+    #[test_case(ShotEnd::Cancelled, Connecting, Outcome::Moot; "cancelled unsent")]
+    #[test_case(ShotEnd::Cancelled, Sent, Outcome::Cancelled; "cancelled")]
+    #[test_case(ShotEnd::Answered(status::SUCCESS), Sent, Outcome::Settled; "settled")]
+    #[test_case(ShotEnd::Answered(status::COMPARE_FAILURE), Sent, Outcome::Settled; "a Compare that found a difference")]
+    #[test_case(ShotEnd::Answered(status::TRANSPORT_ERROR), Sent, Outcome::Failed; "data corrupted in transit")]
+    #[test_case(ShotEnd::Answered(status::FULL), Sent, Outcome::Full; "full")]
+    #[test_case(ShotEnd::Answered(status::DRAINING | status::CRD1), Sent, Outcome::Full; "draining, with a retry delay")]
+    #[test_case(ShotEnd::Answered(status::INTERRUPTED), Sent, Outcome::Full; "interrupted")]
+    #[test_case(ShotEnd::Answered(status::ABORTED_BY_REQUEST), Sent, Outcome::Cancelled; "aborted")]
+    #[test_case(ShotEnd::Answered(status::INTERNAL_ERROR), Sent, Outcome::Failed; "internal error")]
+    #[test_case(ShotEnd::Answered(status::INVALID_FIELD | status::DNR), Sent, Outcome::Failed; "invalid field")]
+    fn table(end: ShotEnd, progress: Progress, expected: Outcome) {
+        assert_eq!(outcome(end, progress), expected);
     }
 }
--- a/crates/initiator/src/peer.rs
+++ b/crates/initiator/src/peer.rs
@@ -1,40 +1,46 @@
-//! A peer's connection, whichever side it is on: whether it makes progress, and bytes on their way to it.
+//! Helpers for the connection of any peer, client or node: detection of stalled peers, and buffered writes.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// Since when a peer makes no progress with a PDU that it began, and does not read what it is sent. Progress
-/// starts the wait anew: a busy connection may well never be seen between two PDUs.
+/// Detects a peer that stalls in the middle of a PDU or does not read what it is sent. Any progress restarts the wait,
+/// because a busy connection may never be observed between two PDUs.
 #[derive(Default)]
-pub struct Stuck {
-    pub unfinished: Option<f64>,
-    pub unmoved: Option<f64>,
+pub struct StallDetector {
+    /// Clock time since which a received PDU is incomplete and makes no progress, seconds.
+    pub incomplete_since: Option<f64>,
+    /// Clock time since which output is pending and the peer takes none of it, seconds.
+    pub unread_since: Option<f64>,
 }
 
-impl Stuck {
-    pub fn read(&mut self, now: f64, progress: bool, unfinished: bool) {
-        let since = self.unfinished.filter(|_| !progress).or(Some(now));
-        self.unfinished = since.filter(|_| unfinished);
+impl StallDetector {
+    /// Records a read: whether a PDU was completed, and whether another one is incomplete.
+    pub fn record_read(&mut self, now: f64, progress: bool, incomplete: bool) {
+        let since = self.incomplete_since.filter(|_| !progress).or(Some(now));
+        self.incomplete_since = since.filter(|_| incomplete);
     }
 
-    pub fn written(&mut self, now: f64, progress: bool, waiting: bool) {
-        let since = self.unmoved.filter(|_| !progress).or(Some(now));
-        self.unmoved = since.filter(|_| waiting);
+    /// Records a write: whether the kernel took bytes, and whether output is still pending.
+    pub fn record_write(&mut self, now: f64, progress: bool, pending: bool) {
+        let since = self.unread_since.filter(|_| !progress).or(Some(now));
+        self.unread_since = since.filter(|_| pending);
     }
 
-    pub fn longer_than(&self, now: f64, wait: f64) -> bool {
-        let late = |since: Option<f64>| since.is_some_and(|since| now - since > wait);
-        late(self.unfinished) || late(self.unmoved)
+    /// Whether the peer has been stalled for more than `max_wait` seconds.
+    pub fn stalled_longer_than(&self, now: f64, max_wait: f64) -> bool {
+        let is_stalled = |since: Option<f64>| since.is_some_and(|since| now - since > max_wait);
+        is_stalled(self.incomplete_since) || is_stalled(self.unread_since)
     }
 }
 
-/// Writes `out` from `sent` on, and counts the calls; true when all is out.
-pub fn write_out(
-    mut stream: &TcpStream, out: &mut Vec<u8>, sent: &mut usize, calls: &mut u64,
+/// Writes the bytes of `output` from offset `sent` on, and counts the system calls in `calls`. Returns true when all
+/// bytes are written, and false when the kernel takes no more for now.
+pub fn write_output(
+    mut stream: &TcpStream, output: &mut Vec<u8>, sent: &mut usize, calls: &mut u64,
 ) -> io::Result<bool> {
-    while *sent < out.len() {
+    while *sent < output.len() {
         *calls += 1;
-        match stream.write(&out[*sent..]) {
+        match stream.write(&output[*sent..]) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => *sent += written,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -42,7 +48,7 @@
             Err(error) => return Err(error),
         }
     }
-    out.clear();
+    output.clear();
     *sent = 0;
     Ok(true)
 }
--- a/crates/initiator/src/polls.rs
+++ b/crates/initiator/src/polls.rs
@@ -1,8 +1,9 @@
-//! Polls of a loop's tasks: how long each took, which took too long, and when one has to let the others run.
+//! Measurement of the polls of an event loop's tasks: the duration of each, warnings about long ones, and a time budget
+//! after which a task yields.
 //!
-//! A poll is one run of a task by the executor. Nothing else of the thread runs meanwhile, so the longest poll is the
-//! longest time for which one peer can keep all others waiting. A loop that goes on for as long as its peer sends calls
-//! [`yield_if_spent`] in each round; [`crate::event_loop::read_some`] does so before each read.
+//! A poll is one run of a task by the executor. Nothing else on the thread runs meanwhile, so the longest poll is the
+//! longest time for which one peer can delay all others. A loop that continues for as long as its peer sends calls
+//! [`yield_if_spent`] in each iteration; [`crate::event_loop::read_some`] does so before each read.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -20,20 +21,21 @@
 use serde::Serialize;
 use tracing::warn;
 
-/// A poll of this length is worth a warning.
+/// Shortest poll that is logged as a warning.
 const LONG_POLL: Duration = Duration::from_millis(100);
-/// What one poll may take before it lets the others run: far below any deadline, far above the cost of a yield.
+/// Time after which a poll yields to other tasks: far below any deadline, and far above the cost of a yield.
 const POLL_BUDGET: Duration = Duration::from_millis(1);
-/// How long tasks run before the sockets and timers are looked at: a look costs a system call.
-const LOOK: Duration = Duration::from_millis(1);
-/// How old the last reading of the thread's processor time may be, as each costs a system call.
+/// Time for which tasks run before the reactor is polled for sockets and timers, as each reactor poll costs a system
+/// call.
+const REACTOR_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum age of the last reading of the thread's CPU time, as each reading costs a system call.
 const CPU_READING_AGE: Duration = Duration::from_millis(10);
-/// Polls are told apart up to this length, microseconds; longer ones count as this long in the histogram.
-const LONGEST_TOLD: u64 = 60_000_000;
-/// Significant digits of the histogram.
-const DIGITS: u8 = 2;
+/// Upper bound of the histogram, microseconds; longer polls are recorded with this duration.
+const MAX_RECORDED_MICROS: u64 = 60_000_000;
+/// Significant decimal digits of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What a task does.
+/// Purpose of a task, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskKind {
     Accept,
@@ -49,7 +51,7 @@
     TurnAway,
 }
 
-/// Who a task deals with.
+/// Peer that a task communicates with, as it is logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Peer {
     None,
@@ -67,72 +69,76 @@
     }
 }
 
-/// Polls since the summary before.
+/// Number and durations of the polls since the previous summary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PollSummary {
     pub polls: u64,
-    /// Microseconds.
+    /// Median duration, microseconds.
     pub p50: u64,
+    /// 99th percentile, microseconds.
     pub p99: u64,
+    /// 99.9th percentile, microseconds.
     pub p999: u64,
+    /// Longest duration, microseconds.
     pub longest: u64,
 }
 
-/// What is known of the polls of one thread.
-struct PollTimes {
+/// Measurements of the polls of one thread.
+struct PollMetrics {
     histogram: RefCell<Histogram<u32>>,
-    /// Since when the poll under way goes on; none between two polls, and in tasks that are not measured.
-    began: Cell<Option<Instant>>,
-    /// When the thread's processor time was read last, and what it was.
-    cpu: Cell<(Instant, Duration)>,
+    /// Start of the current poll; none between two polls, and in tasks that are not measured.
+    started: Cell<Option<Instant>>,
+    /// Time of the last reading of the thread's CPU time, and its value.
+    cpu_reading: Cell<(Instant, Duration)>,
 }
 
-impl PollTimes {
+impl PollMetrics {
     fn new() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_TOLD, DIGITS).expect("bounds that fit");
-        PollTimes {
+        let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
+            .expect("the histogram bounds are valid");
+        PollMetrics {
             histogram: RefCell::new(histogram),
-            began: Cell::new(None),
-            cpu: Cell::new((Instant::now(), thread_cpu())),
+            started: Cell::new(None),
+            cpu_reading: Cell::new((Instant::now(), thread_cpu_time())),
         }
     }
 
-    fn began(&self, now: Instant) {
-        self.began.set(Some(now));
-        if now.duration_since(self.cpu.get().0) >= CPU_READING_AGE {
-            self.cpu.set((now, thread_cpu()));
+    fn poll_started(&self, now: Instant) {
+        self.started.set(Some(now));
+        if now.duration_since(self.cpu_reading.get().0) >= CPU_READING_AGE {
+            self.cpu_reading.set((now, thread_cpu_time()));
         }
     }
 
-    /// Whether the poll under way has used up its time. One that is not measured has none.
-    fn spent(&self) -> bool {
-        self.began.get().is_none_or(|began| began.elapsed() >= POLL_BUDGET)
+    /// Whether the current poll has used up its time budget. A poll that is not measured has no budget left.
+    fn is_budget_spent(&self) -> bool {
+        self.started.get().is_none_or(|started| started.elapsed() >= POLL_BUDGET)
     }
 
-    fn ended(&self, task: TaskKind, peer: &Peer, began: Instant) {
-        self.began.set(None);
-        let took = began.elapsed();
-        let micros = u64::try_from(took.as_micros()).unwrap_or(LONGEST_TOLD);
+    fn poll_ended(&self, task: TaskKind, peer: &Peer, started: Instant) {
+        self.started.set(None);
+        let duration = started.elapsed();
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(MAX_RECORDED_MICROS);
         self.histogram.borrow_mut().saturating_record(micros.max(1));
-        if took >= LONG_POLL {
-            // Little processor time in a long poll is a process that was held up, not a task that did much.
-            let cpu = thread_cpu().saturating_sub(self.cpu.get().1);
-            let (took_ms, cpu_ms) = (took.as_millis() as u64, cpu.as_millis() as u64);
+        if duration >= LONG_POLL {
+            // A long poll with little CPU time means that the process was suspended, not that the task was busy.
+            let cpu = thread_cpu_time().saturating_sub(self.cpu_reading.get().1);
+            let (took_ms, cpu_ms) = (duration.as_millis() as u64, cpu.as_millis() as u64);
             warn!(?task, %peer, took_ms, cpu_ms, "a task kept the loop for long");
         }
     }
 }
 
 thread_local! {
-    static POLL_TIMES: PollTimes = PollTimes::new();
+    static POLL_METRICS: PollMetrics = PollMetrics::new();
 }
 
-fn thread_cpu() -> Duration {
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Starts a task whose polls are measured.
+/// Spawns a task whose polls are measured.
 pub fn spawn(
     executor: &LocalExecutor<'static>, task: TaskKind, peer: Peer, work: impl Future<Output = ()> + 'static,
 ) {
@@ -142,43 +148,43 @@
 async fn measured(task: TaskKind, peer: Peer, work: impl Future<Output = ()>) {
     let mut work = pin!(work);
     poll_fn(|context| {
-        POLL_TIMES.with(|times| {
-            let began = Instant::now();
-            times.began(began);
-            let polled = work.as_mut().poll(context);
-            times.ended(task, &peer, began);
-            polled
+        POLL_METRICS.with(|metrics| {
+            let started = Instant::now();
+            metrics.poll_started(started);
+            let result = work.as_mut().poll(context);
+            metrics.poll_ended(task, &peer, started);
+            result
         })
     })
     .await;
 }
 
-/// Runs the executor's tasks until `until` is done. The executor's own `run` goes through 200 polls before it looks at
-/// anything else, however long they take; here `until`, sockets and timers have their turn after [`LOOK`] at the latest, and
-/// the poll that is under way then.
+/// Runs the executor's tasks until `until` completes. The executor's own `run` performs 200 polls before it checks
+/// anything else, however long they take. Here `until`, sockets and timers are checked after
+/// [`REACTOR_POLL_INTERVAL`] at the latest, plus the duration of the poll that is running at that time.
 pub async fn run<R>(executor: &LocalExecutor<'static>, until: impl Future<Output = R>) -> R {
     let tasks = async {
         loop {
             executor.tick().await;
-            let began = Instant::now();
-            while began.elapsed() < LOOK && executor.try_tick() {}
+            let started = Instant::now();
+            while started.elapsed() < REACTOR_POLL_INTERVAL && executor.try_tick() {}
             yield_now().await;
         }
     };
     until.or(tasks).await
 }
 
-/// Lets the other tasks run where this one's poll has used up its time.
+/// Yields to the other tasks if the current poll has used up its time budget.
 pub async fn yield_if_spent() {
-    if POLL_TIMES.with(PollTimes::spent) {
+    if POLL_METRICS.with(PollMetrics::is_budget_spent) {
         yield_now().await;
     }
 }
 
-/// The polls of this thread since the last call.
+/// Returns the summary of this thread's polls since the last call, and starts a new one.
 pub fn take_summary() -> PollSummary {
-    POLL_TIMES.with(|times| {
-        let mut histogram = times.histogram.borrow_mut();
+    POLL_METRICS.with(|metrics| {
+        let mut histogram = metrics.histogram.borrow_mut();
         let summary = PollSummary {
             polls: histogram.len(),
             p50: histogram.value_at_quantile(0.5),
--- a/crates/initiator/src/run.rs
+++ b/crates/initiator/src/run.rs
@@ -1,4 +1,4 @@
-//! One instance from its start to its end: what it is started with, and the tasks that it consists of.
+//! Runs one instance from its start to its end: its options, and the tasks that it consists of.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -20,22 +20,22 @@
 use crate::polls::{self, spawn, Peer, TaskKind};
 use crate::{net, register};
 
-/// What one instance is started with.
+/// Start parameters of one instance.
 #[derive(Clone)]
 pub struct Options {
     pub deployment: Rc<Deployment>,
-    /// Its number among the initiators.
+    /// Number of this instance among the initiators.
     pub number: u32,
     pub seed: u64,
-    /// Where the last node list is kept.
+    /// File that holds the last received node list.
     pub list_path: PathBuf,
-    /// What decides.
+    /// Creates the decision core.
     pub core_factory: crate::core::CoreFactory,
-    /// Its place in the fleet; none where the settings say that initiators do not talk.
+    /// Membership in the fleet; none when the settings have no fleet.
     pub fleet: Option<fleet::Options>,
 }
 
-/// Runs one instance on a bound listener until `stop` is done, and gives its counts.
+/// Runs one instance on a bound listener until `stop` completes, and returns its counters.
 pub fn run(options: &Options, listener: TcpListener, stop: impl Future<Output = ()>) -> io::Result<Counts> {
     let listener = Async::new(listener)?;
     let executor = Rc::new(LocalExecutor::new());
@@ -46,21 +46,22 @@
     spawn(&executor, TaskKind::Accept, Peer::None, accept);
     spawn(&executor, TaskKind::Timers, Peer::None, run_timers(weak.clone()));
     spawn(&executor, TaskKind::Discovery, Peer::None, register::follow(weak.clone()));
-    spawn(&executor, TaskKind::Report, Peer::None, report(weak));
+    spawn(&executor, TaskKind::Report, Peer::None, log_counts(weak));
     let fleet =
         options.fleet.clone().map(|options| fleet::start(options, &executor, Rc::downgrade(&instance)));
     let fleet: Option<Rc<RefCell<Fleet>>> = fleet.transpose()?;
     async_io::block_on(polls::run(&executor, stop));
     fleet.into_iter().for_each(|fleet| fleet.borrow_mut().leave());
-    let counts = instance.borrow_mut().counted();
+    let counts = instance.borrow_mut().current_counts();
     Ok(counts)
 }
 
-async fn report(instance: Weak<RefCell<Instance>>) {
+/// Logs the counters every 10 s.
+async fn log_counts(instance: Weak<RefCell<Instance>>) {
     loop {
         Timer::after(Duration::from_secs(10)).await;
         let Some(instance) = instance.upgrade() else { return };
-        let counts = serde_json::to_string(&instance.borrow_mut().counted()).unwrap_or_default();
+        let counts = serde_json::to_string(&instance.borrow_mut().current_counts()).unwrap_or_default();
         info!(counts, "counts");
     }
 }
--- a/crates/initiator/src/timer_wheel.rs
+++ b/crates/initiator/src/timer_wheel.rs
@@ -1,53 +1,64 @@
-//! Timers that are set by the thousand and never taken back: a hierarchical wheel.
+//! A hierarchical timer wheel for many thousands of timers that are never cancelled.
 //!
-//! Six levels of 64 slots over ticks of 1/1024 s, or finer. A timer goes into the level that its distance needs and
-//! moves down as its time comes near, so setting one and ringing one cost the same whatever the number set.
-//! A timer rings at the first tick at or after its time, never before; those of one call ring by time, then in
-//! the order set.
+//! It has six levels of 64 slots over ticks of 1/1024 s, or finer. A timer is put into the level that its distance
+//! requires and moves to lower levels as its time approaches, so the cost of setting and of firing a timer does not
+//! depend on how many timers are set.
+//! A timer fires at the first tick at or after its time, never earlier. The timers of one call fire ordered by time, and
+//! timers of the same time in the order in which they were set.
 
+/// Slots of one level.
 const SLOTS: usize = 64;
-const BITS: u32 = 6;
+/// Binary digits of a tick number that one level covers.
+const LEVEL_BITS: u32 = 6;
 const LEVELS: usize = 6;
-const TICKS: f64 = 1024.0;
+/// Default resolution, ticks per second.
+const TICKS_PER_SECOND: f64 = 1024.0;
 
 #[derive(Debug)]
 struct Entry<T> {
-    at: f64,
+    /// Clock time, seconds.
+    time: f64,
     tick: u64,
+    /// Sequence number, in the order in which timers were set.
     order: u64,
-    what: T,
+    payload: T,
 }
 
+/// A set of timers, each of which carries a payload of the caller.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
-    ticks: f64,
+    ticks_per_second: f64,
+    /// Clock time of tick 0, seconds.
     origin: f64,
+    /// Current tick.
     tick: u64,
+    /// Sequence number of the timer that was set last.
     order: u64,
     count: usize,
     slots: Vec<Vec<Entry<T>>>,
-    /// One bit for each slot of a level that holds anything.
-    held: [u64; LEVELS],
-    /// Timers whose tick has already passed when they were set.
+    /// For each level, one bit per slot, set when the slot holds timers.
+    occupied: [u64; LEVELS],
+    /// Timers whose tick has been reached and that have not been handed over yet.
     due: Vec<Entry<T>>,
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel that starts at `now`, seconds.
+    /// Creates a wheel that starts at the clock time `now`, seconds.
     pub fn new(now: f64) -> Self {
-        Self::with_resolution(now, TICKS)
+        Self::with_resolution(now, TICKS_PER_SECOND)
     }
 
-    /// As [`TimerWheel::new`], with so many ticks a second; at 65,536 what is later than 12 days is as 12 days.
-    pub fn with_resolution(now: f64, ticks: f64) -> Self {
+    /// Like [`TimerWheel::new`], with a resolution in ticks per second. At 65,536 ticks per second, a
+    /// timer later than 12 days is placed as if it were 12 days away.
+    pub fn with_resolution(now: f64, ticks_per_second: f64) -> Self {
         TimerWheel {
-            ticks,
+            ticks_per_second,
             origin: now,
             tick: 0,
             order: 0,
             count: 0,
             slots: (0..SLOTS * LEVELS).map(|_| Vec::new()).collect(),
-            held: [0; LEVELS],
+            occupied: [0; LEVELS],
             due: Vec::new(),
         }
     }
@@ -60,77 +71,79 @@
         self.count == 0
     }
 
-    /// Sets a timer for the clock time `at`, seconds; later than two years is as two years.
-    pub fn set(&mut self, at: f64, what: T) {
-        let tick = ((at - self.origin) * self.ticks).ceil().max(0.0) as u64;
+    /// Sets a timer for the clock time `time`, seconds. At the default resolution, a timer later than two years is
+    /// placed as if it were two years away.
+    pub fn set(&mut self, time: f64, payload: T) {
+        let tick = ((time - self.origin) * self.ticks_per_second).ceil().max(0.0) as u64;
         self.order += 1;
         self.count += 1;
-        self.file(Entry { at, tick, order: self.order, what });
+        self.insert(Entry { time, tick, order: self.order, payload });
     }
 
-    fn file(&mut self, entry: Entry<T>) {
+    fn insert(&mut self, entry: Entry<T>) {
         if entry.tick <= self.tick {
             self.due.push(entry);
             return;
         }
-        let most = self.tick + (1 << (BITS * LEVELS as u32)) - 1;
-        let tick = entry.tick.min(most);
-        // The level whose slots tell this tick from the present one.
-        let level = ((63 - (tick ^ self.tick).leading_zeros()) / BITS) as usize;
+        let max_tick = self.tick + (1 << (LEVEL_BITS * LEVELS as u32)) - 1;
+        let tick = entry.tick.min(max_tick);
+        // The lowest level at which this tick and the current tick lie in different slots.
+        let level = ((63 - (tick ^ self.tick).leading_zeros()) / LEVEL_BITS) as usize;
         let level = level.min(LEVELS - 1);
-        let slot = (tick >> (BITS * level as u32)) as usize % SLOTS;
-        self.held[level] |= 1 << slot;
+        let slot = (tick >> (LEVEL_BITS * level as u32)) as usize % SLOTS;
+        self.occupied[level] |= 1 << slot;
         self.slots[level * SLOTS + slot].push(entry);
     }
 
-    /// First tick after the present one at which a slot has to be looked at.
+    /// The first tick after the current one at which a slot has to be processed.
     fn next_tick(&self) -> Option<u64> {
-        (0..LEVELS).filter_map(|level| self.next_in(level)).min()
+        (0..LEVELS).filter_map(|level| self.next_tick_of_level(level)).min()
     }
 
-    fn next_in(&self, level: usize) -> Option<u64> {
-        let held = self.held[level];
-        if held == 0 {
+    fn next_tick_of_level(&self, level: usize) -> Option<u64> {
+        let occupied = self.occupied[level];
+        if occupied == 0 {
             return None;
         }
-        let shift = BITS * level as u32;
-        let here = self.tick >> shift;
-        // Slots are seen from the one after the present, round the circle.
-        let ahead = held.rotate_right(((here + 1) % SLOTS as u64) as u32).trailing_zeros();
-        Some((here + 1 + u64::from(ahead)) << shift)
+        let shift = LEVEL_BITS * level as u32;
+        let current = self.tick >> shift;
+        // Slots are searched circularly, starting with the one after the current slot.
+        let ahead = occupied.rotate_right(((current + 1) % SLOTS as u64) as u32).trailing_zeros();
+        Some((current + 1 + u64::from(ahead)) << shift)
     }
 
-    /// When to call [`TimerWheel::advance`] next: no timer is due earlier.
+    /// Clock time, seconds, of the next call of [`TimerWheel::advance`]: no timer is due earlier. Negative infinity when a
+    /// timer is already due, none when no timer is set.
     pub fn next_expiry(&self) -> Option<f64> {
         if !self.due.is_empty() {
             return Some(f64::NEG_INFINITY);
         }
-        self.next_tick().map(|tick| self.origin + tick as f64 / self.ticks)
+        self.next_tick().map(|tick| self.origin + tick as f64 / self.ticks_per_second)
     }
 
-    /// Moves to `now` and hands over what is due.
-    pub fn advance(&mut self, now: f64, into: &mut Vec<T>) {
-        let target = ((now - self.origin) * self.ticks).floor().max(0.0) as u64;
+    /// Advances to the clock time `now`, seconds, and appends the payloads of all due timers to `fired`.
+    pub fn advance(&mut self, now: f64, fired: &mut Vec<T>) {
+        let target = ((now - self.origin) * self.ticks_per_second).floor().max(0.0) as u64;
         while let Some(next) = self.next_tick().filter(|next| *next <= target) {
             self.tick = next;
             for level in (0..LEVELS).rev() {
-                let shift = BITS * level as u32;
+                let shift = LEVEL_BITS * level as u32;
                 if level > 0 && next & ((1 << shift) - 1) != 0 {
                     continue;
                 }
                 let slot = (next >> shift) as usize % SLOTS;
-                if self.held[level] & 1 << slot == 0 {
+                if self.occupied[level] & 1 << slot == 0 {
                     continue;
                 }
-                self.held[level] &= !(1 << slot);
+                self.occupied[level] &= !(1 << slot);
                 let entries = std::mem::take(&mut self.slots[level * SLOTS + slot]);
-                entries.into_iter().for_each(|entry| self.file(entry));
+                entries.into_iter().for_each(|entry| self.insert(entry));
             }
         }
         self.tick = self.tick.max(target);
-        self.due.sort_by(|one, other| one.at.total_cmp(&other.at).then(one.order.cmp(&other.order)));
+        self.due.sort_by(|left, right| left.time.total_cmp(&right.time).then(left.order.cmp(&right.order)));
         self.count -= self.due.len();
-        into.extend(self.due.drain(..).map(|entry| entry.what));
+        fired.extend(self.due.drain(..).map(|entry| entry.payload));
     }
 }
 
@@ -142,47 +155,48 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
-        /// Against a sorted list: never early, never later than a tick, in order, none lost.
+        /// Compares the wheel with a sorted list: timers fire in order, none early, none later than a tick, and none is
+        /// lost.
         #[test]
-        fn as_a_sorted_list(
+        fn fires_like_a_sorted_list(
             steps in proptest::collection::vec((0.0..4000.0f64, 0.0..1.0f64, 0u8..4), 1..120),
         ) {
             let mut now = 1e9;
-            let (mut wheel, mut plain) = (TimerWheel::new(now), Vec::<(f64, usize)>::new());
-            for (at, (far, step, scale)) in steps.iter().enumerate() {
-                let after = far * [1.0, 1e-1, 1e-3, 1e-6][usize::from(*scale)];
-                wheel.set(now + after, at);
-                plain.push((now + after, at));
+            let (mut wheel, mut expected_timers) = (TimerWheel::new(now), Vec::<(f64, usize)>::new());
+            for (id, (distance, step, scale)) in steps.iter().enumerate() {
+                let delay = distance * [1.0, 1e-1, 1e-3, 1e-6][usize::from(*scale)];
+                wheel.set(now + delay, id);
+                expected_timers.push((now + delay, id));
                 now += step * [0.01, 1.0, 60.0, 700.0][usize::from(*scale)];
-                let mut rang = Vec::new();
-                wheel.advance(now, &mut rang);
-                plain.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
-                let expected: Vec<_> = plain.iter().filter(|one| rang.contains(&one.1)).map(|one| one.1).collect();
-                prop_assert_eq!(&rang, &expected);
-                for one in &plain {
-                    let early = rang.contains(&one.1) && one.0 > now + 1e-6;
-                    let late = !rang.contains(&one.1) && one.0 < now - 2.0 / TICKS;
-                    prop_assert!(!early && !late, "{one:?} at {now}");
+                let mut fired = Vec::new();
+                wheel.advance(now, &mut fired);
+                expected_timers.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
+                let expected: Vec<_> = expected_timers.iter().filter(|timer| fired.contains(&timer.1)).map(|timer| timer.1).collect();
+                prop_assert_eq!(&fired, &expected);
+                for timer in &expected_timers {
+                    let early = fired.contains(&timer.1) && timer.0 > now + 1e-6;
+                    let late = !fired.contains(&timer.1) && timer.0 < now - 2.0 / TICKS_PER_SECOND;
+                    prop_assert!(!early && !late, "{timer:?} at {now}");
                 }
-                plain.retain(|one| !rang.contains(&one.1));
-                prop_assert_eq!(wheel.len(), plain.len());
-                // Nothing may be due before the time that the caller is told to come back at.
+                expected_timers.retain(|timer| !fired.contains(&timer.1));
+                prop_assert_eq!(wheel.len(), expected_timers.len());
+                // No timer may be due before the time that the wheel reports as the next expiry.
                 let next = wheel.next_expiry().unwrap_or(f64::INFINITY);
-                prop_assert!(plain.iter().all(|one| one.0 >= next - 1.0 / TICKS - 1e-6));
+                prop_assert!(expected_timers.iter().all(|timer| timer.0 >= next - 1.0 / TICKS_PER_SECOND - 1e-6));
             }
         }
     }
 
-    /// A timer set in the past, as after a stall, rings at the next call.
+    /// A timer that is set in the past, for example after a stall, fires at the next call.
     #[test]
-    fn what_is_past_rings_at_once() {
+    fn past_timers_fire_at_the_next_call() {
         let mut wheel = TimerWheel::new(10.0);
-        let mut rang = Vec::new();
-        wheel.advance(12.0, &mut rang);
+        let mut fired = Vec::new();
+        wheel.advance(12.0, &mut fired);
         wheel.set(11.0, 'b');
         wheel.set(10.5, 'a');
         assert_eq!(wheel.next_expiry(), Some(f64::NEG_INFINITY));
-        wheel.advance(12.0, &mut rang);
-        assert_eq!(rang, ['a', 'b']);
+        wheel.advance(12.0, &mut fired);
+        assert_eq!(fired, ['a', 'b']);
     }
 }
--- a/crates/initiator/tests/placement.rs
+++ b/crates/initiator/tests/placement.rs
@@ -38,7 +38,7 @@
 fn a_block_lies_where_the_settings_say(slba: u64, expected: Option<(i64, u64)>) {
     let deployment = sample();
     let found = Index::new(&deployment).place(&deployment, 1, slba);
-    assert_eq!(found.map(|Place { block, left, .. }| (block, left)), expected);
+    assert_eq!(found.map(|Place { block, remaining, .. }| (block, remaining)), expected);
 }
 
 #[test_case(5, 4096, false, "look-up"; "a small read")]
