--- a/crates/day/src/told.rs
+++ b/crates/day/src/told.rs
@@ -18,9 +18,9 @@
         window: talk.window,
         done_within: DONE_WITHIN * talk.probe_every,
         done_at_worst: 2.0 * DONE_WITHIN * talk.probe_every,
-        settles: quaypath_fleet::figures::settles(talk.period, talk.member.len()),
-        most_bytes: quaypath_fleet::figures::most_bytes(talk.period, usize::from(talk.helpers)),
-        longest: quaypath_fleet::message::LONGEST as u64,
+        settles: quaypath_fleet::config::convergence_time(talk.period, talk.member.len()),
+        most_bytes: quaypath_fleet::config::max_bytes_per_second(talk.period, usize::from(talk.helpers)),
+        longest: quaypath_fleet::message::MAX_DATAGRAM_BYTES as u64,
         transit,
     })
 }
--- a/crates/fleet/examples/seeds.rs
+++ b/crates/fleet/examples/seeds.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use quaypath_fleet::sim::{play, Outcome, Play};
+use quaypath_fleet::simulation::{play, Outcome, Play};
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -20,7 +20,7 @@
                 if seed >= from + count {
                     return;
                 }
-                let bound = quaypath_fleet::sim::bound(members);
+                let bound = quaypath_fleet::simulation::bound(members);
                 let mut storm = Play::storm(seed, members, 25.0, 30.0 + 2.0 * bound);
                 storm.plain = plain;
                 let outcome = play(&storm);
--- a/crates/fleet/src/figures.rs
+++ b/crates/fleet/src/config.rs
@@ -3,11 +3,11 @@
 use crate::{message, MemberId};
 
 /// Most members of a fleet.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 
 /// One row of the list of members.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Row {
+pub struct MemberEntry {
     pub member: MemberId,
     /// Part of the duties, relative to others.
     pub weight: u8,
@@ -15,41 +15,41 @@
 
 /// Times in seconds.
 #[derive(Clone, Debug)]
-pub struct Figures {
-    pub me: MemberId,
+pub struct FleetConfig {
+    pub own_id: MemberId,
     /// Told apart from others by its name.
     pub fleet: u64,
     /// Every member that there may be, this one among them; what is not of it is not talked to.
-    pub members: Vec<Row>,
+    pub members: Vec<MemberEntry>,
     /// One check a period.
-    pub period: f64,
+    pub check_period: f64,
     /// How long a check waits for its answer before others are asked to check.
-    pub wait: f64,
+    pub ack_timeout: f64,
     /// How many are asked.
     pub helpers: usize,
     /// How often each duty is done.
-    pub every: f64,
+    pub duty_interval: f64,
     /// How long two members may both do a duty: half of it is the time that a member which is new or had no turn
     /// looks on before it does any.
-    pub window: f64,
+    pub takeover_window: f64,
     /// A safeguard taken away, for tests of the tests only.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<Safeguard>,
 }
 
-impl Figures {
+impl FleetConfig {
     /// A fleet of so many members of one weight.
-    pub fn of(fleet: &str, me: u16, members: u16) -> Figures {
-        let row = |number| Row { member: MemberId(number), weight: 1 };
-        Figures {
-            me: MemberId(me),
-            fleet: message::fleet(fleet),
+    pub fn uniform(fleet: &str, me: u16, members: u16) -> FleetConfig {
+        let row = |number| MemberEntry { member: MemberId(number), weight: 1 };
+        FleetConfig {
+            own_id: MemberId(me),
+            fleet: message::fleet_hash(fleet),
             members: (0..members).map(row).collect(),
-            period: 0.5,
-            wait: 0.2,
+            check_period: 0.5,
+            ack_timeout: 0.2,
             helpers: 3,
-            every: 2.0,
-            window: 5.0,
-            without: None,
+            duty_interval: 2.0,
+            takeover_window: 5.0,
+            disabled_safeguard: None,
         }
     }
 }
@@ -57,23 +57,23 @@
 /// How long after the last fault near two members each holds of the other what is so, seconds, by the period and the
 /// size of the fleet: a member is checked, suspected for the longest time and told of; or, where it was held dead
 /// wrongly, found again by pages to those that are missing.
-pub fn settles(period: f64, members: usize) -> f64 {
+pub fn convergence_time(period: f64, members: usize) -> f64 {
     period * (22.0 + 6.0 * (members.max(2) as f64).log2())
 }
 
 /// Most that a member sends, bytes a second, whatever the size of the fleet: a check and its helpers each period, as
 /// many for others four times over, two pages each period with answers to as many, and signals.
-pub fn most_bytes(period: f64, helpers: usize) -> f64 {
+pub fn max_bytes_per_second(period: f64, helpers: usize) -> f64 {
     let checks = 5.0 * (1.0 + 2.0 * helpers as f64);
-    (checks + 8.0) * message::LONGEST as f64 / period + crate::signal::MOST_BYTES
+    (checks + 8.0) * message::MAX_DATAGRAM_BYTES as f64 / period + crate::signal::MAX_BYTES_PER_SECOND
 }
 
 /// What keeps a promise of the fleet, and can be taken away to see that a test notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A life above the last one known of its name.
+    /// A incarnation above the last one known of its name.
     Incarnation,
-    /// A suspicion is answered with a higher incarnation.
+    /// A suspicion is answered with a higher refutation.
     Refutation,
     /// A process that had no turn judges nobody by what it missed.
     Turn,
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::message::{Finding, MOST_FINDINGS, OLDEST};
+use crate::message::{DutyResult, MAX_AGE, MAX_DUTY_RESULTS};
 use crate::{DutyId, MemberId};
 
 /// Most duties of a fleet; more are not taken.
@@ -182,7 +182,7 @@
     /// that do a duty in step both learn whose it is.
     /// One that comes `from` the member that did it, and is behind what is known here, makes it be told again: a member
     /// that joins late has heard of no rounds before.
-    pub fn told(&mut self, now: f64, from: MemberId, finding: &Finding) {
+    pub fn told(&mut self, now: f64, from: MemberId, finding: &DutyResult) {
         let Some(known) = self.known.get(&finding.duty) else { return };
         let theirs = claim(finding.duty, finding.by, finding.weight);
         let ours = |last: Last| claim(finding.duty, last.by, last.weight);
@@ -202,8 +202,8 @@
     }
 
     /// Findings for one datagram, those told least first.
-    pub fn tell(&mut self, now: f64, most_times: u8) -> Vec<Finding> {
-        let picked: Vec<(u8, DutyId)> = self.queue.iter().take(MOST_FINDINGS).copied().collect();
+    pub fn tell(&mut self, now: f64, most_times: u8) -> Vec<DutyResult> {
+        let picked: Vec<(u8, DutyId)> = self.queue.iter().take(MAX_DUTY_RESULTS).copied().collect();
         let mut findings = Vec::new();
         for (told, duty) in picked {
             self.queue.remove(&(told, duty));
@@ -213,9 +213,9 @@
             if known.told < most_times {
                 self.queue.insert((known.told, duty));
             }
-            let age = ((now - last.at).max(0.0) * 100.0).min(f64::from(OLDEST)) as u16;
+            let age = ((now - last.at).max(0.0) * 100.0).min(f64::from(MAX_AGE)) as u16;
             let (by, weight, good) = (last.by, last.weight, last.good);
-            findings.push(Finding { duty, round: known.round, by, weight, age, good });
+            findings.push(DutyResult { duty, round: known.round, by, weight, age, good });
         }
         findings
     }
--- a/crates/fleet/src/explore.rs
+++ b/crates/fleet/src/explore.rs
@@ -13,7 +13,7 @@
 use quaypath::types::{Account, Need};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::lend::{gone, Ledger, Lend, Safeguard, DRIFT, LENGTH};
+use crate::lending::{lender_hold, Ledger, Lend, Safeguard, DRIFT, LENGTH};
 use crate::signal::Part;
 use crate::MemberId;
 
@@ -76,7 +76,7 @@
 struct Message {
     from: usize,
     to: usize,
-    life: u32,
+    incarnation: u32,
     part: Part,
     /// The same, to compare by.
     bytes: Vec<u8>,
@@ -86,7 +86,7 @@
 struct Process {
     lend: Lend,
     store: Store,
-    life: u32,
+    incarnation: u32,
     wants: f64,
 }
 
@@ -111,15 +111,15 @@
 }
 
 impl Ledger for Books<'_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
-        self.need(now, ACCOUNT).into_iter().collect()
+    fn limit_balances(&mut self, now: f64) -> Vec<Need> {
+        self.limit_balance(now, ACCOUNT).into_iter().collect()
     }
-    fn need(&mut self, now: f64, _: Account) -> Option<Need> {
+    fn limit_balance(&mut self, now: f64, _: Account) -> Option<Need> {
         self.store.fill(now, self.rate, CAP);
         let spare = if self.wants > 0.0 { 0.0 } else { self.store.level };
         Some(Need { account: ACCOUNT, spare, wants: self.wants })
     }
-    fn moved(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
+    fn transfer(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
         self.store.fill(now, self.rate, CAP);
         self.store.shift(units, until)
     }
@@ -127,14 +127,14 @@
 
 impl Process {
     /// One that has just started, and knows who else shares the account.
-    fn start(bounds: &Bounds, me: MemberId, now: f64, life: u32, mut store: Store) -> Process {
+    fn start(bounds: &Bounds, me: MemberId, now: f64, incarnation: u32, mut store: Store) -> Process {
         let members: Vec<MemberId> = (0..bounds.initiators as u16).map(MemberId).collect();
         let mut lend = Lend::new(me, members.clone(), bounds.without);
         lend.look(now, &mut Books { store: &mut store, wants: 0.0, rate: bounds.rate }, &mut Vec::new());
         for one in members.into_iter().filter(|one| *one != me) {
             lend.shares(now, ACCOUNT, one);
         }
-        Process { lend, store, life, wants: 0.0 }
+        Process { lend, store, incarnation, wants: 0.0 }
     }
 }
 
@@ -175,18 +175,20 @@
             // Who shares the account is known here from the start.
             if !matches!(part, Part::Here(_) | Part::Sharers(..)) {
                 let to = usize::from(to.0);
-                let mut bytes = vec![at as u8, to as u8, process.life as u8];
+                let mut bytes = vec![at as u8, to as u8, process.incarnation as u8];
                 part.put(&mut bytes);
-                self.net.push(Message { from: at, to, life: process.life, part, bytes });
+                self.net.push(Message { from: at, to, incarnation: process.incarnation, part, bytes });
             }
         }
     }
 
     fn comes(&mut self, bounds: &Bounds, message: &Message) {
-        let Message { from, to, life, part, .. } = message.clone();
-        let ours = self.processes[to].life;
+        let Message { from, to, incarnation, part, .. } = message.clone();
+        let ours = self.processes[to].incarnation;
         let from = MemberId(from as u16);
-        self.run(bounds, to, |lend, now, books, out| lend.heard(now, from, (life, ours), &part, books, out));
+        self.run(bounds, to, |lend, now, books, out| {
+            lend.part_received(now, from, (incarnation, ours), &part, books, out)
+        });
     }
 
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
@@ -236,10 +238,10 @@
             Step::Restarts(at) => {
                 self.restarts += 1;
                 let now = self.clock(bounds, at);
-                let hold = if bounds.without == Some(Safeguard::Hold) { 0.0 } else { gone() };
+                let hold = if bounds.without == Some(Safeguard::Hold) { 0.0 } else { lender_hold() };
                 let store = Store { filled_at: now + hold, ..Store::default() };
-                let life = self.processes[at].life + 1;
-                self.processes[at] = Process::start(bounds, MemberId(at as u16), now, life, store);
+                let incarnation = self.processes[at].incarnation + 1;
+                self.processes[at] = Process::start(bounds, MemberId(at as u16), now, incarnation, store);
             }
             Step::Spends(at) => {
                 self.spends += 1;
@@ -272,7 +274,7 @@
         for process in &self.processes {
             process.lend.state(&mut bytes);
             process.store.state(&mut bytes);
-            bytes.extend(process.life.to_le_bytes());
+            bytes.extend(process.incarnation.to_le_bytes());
             bytes.extend(process.wants.to_bits().to_le_bytes());
         }
         for message in &self.net {
--- a/crates/fleet/src/plain.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::figures::Figures;
-use crate::message::{Kind, Message, News, MOST_PAGE, NOBODY};
-use crate::{Act, Core, Counts, DutyId, MemberId, Standing, Status};
+use crate::config::FleetConfig;
+use crate::message::{MemberUpdate, Message, MessageKind, MAX_PAGE_UPDATES, NOBODY};
+use crate::{Action, Counts, DutyId, FleetCore, MemberId, Standing, Status};
 
 const MISSED: f64 = 3.5;
 
-pub struct Plain {
-    figures: Figures,
+pub struct HeartbeatBaseline {
+    config: FleetConfig,
     heard_at: BTreeMap<MemberId, f64>,
     dead: BTreeMap<MemberId, bool>,
     duties: BTreeMap<DutyId, Option<(f64, bool)>>,
@@ -20,10 +20,10 @@
     counts: Counts,
 }
 
-impl Plain {
-    pub fn start(now: f64, figures: Figures) -> Plain {
-        Plain {
-            figures,
+impl HeartbeatBaseline {
+    pub fn start(now: f64, config: FleetConfig) -> HeartbeatBaseline {
+        HeartbeatBaseline {
+            config,
             heard_at: BTreeMap::new(),
             dead: BTreeMap::new(),
             duties: BTreeMap::new(),
@@ -35,106 +35,111 @@
     }
 
     /// What it holds of a part of the members, so that what it holds can be judged from the links as the others'.
-    fn page(&mut self) -> Vec<News> {
-        let me = self.figures.me;
-        let known: Vec<News> = self
+    fn page(&mut self) -> Vec<MemberUpdate> {
+        let me = self.config.own_id;
+        let known: Vec<MemberUpdate> = self
             .dead
             .iter()
             .map(|(member, dead)| {
                 let status = if *dead { Status::Dead } else { Status::Alive };
-                News { member: *member, life: 1, incarnation: 0, status, by: me }
+                MemberUpdate { member: *member, incarnation: 1, refutation: 0, status, by: me }
             })
             .collect();
         let from = if self.page_from < known.len() { self.page_from } else { 0 };
-        self.page_from = from + MOST_PAGE;
-        known.into_iter().skip(from).take(MOST_PAGE).collect()
+        self.page_from = from + MAX_PAGE_UPDATES;
+        known.into_iter().skip(from).take(MAX_PAGE_UPDATES).collect()
     }
 }
 
-impl Core for Plain {
-    fn heard(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Act>) {
-        let Ok(message) = Message::decode(self.figures.fleet, bytes) else {
+impl FleetCore for HeartbeatBaseline {
+    fn datagram_received(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>) {
+        let Ok(message) = Message::decode(self.config.fleet, bytes) else {
             self.counts.bad += 1;
             return;
         };
         self.counts.heard += 1;
         self.heard_at.insert(message.from, now);
         if self.dead.insert(message.from, false) != Some(false) {
-            out.push(Act::Holds(message.from, Status::Alive));
+            out.push(Action::MemberStatusChanged(message.from, Status::Alive));
         }
     }
 
-    fn tick(&mut self, now: f64, out: &mut Vec<Act>) {
+    fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         if now < self.next_at {
             return;
         }
-        self.next_at = now + self.figures.period;
+        self.next_at = now + self.config.check_period;
         for (member, at) in &self.heard_at {
-            if now - at > MISSED * self.figures.period && self.dead.insert(*member, true) == Some(false) {
+            if now - at > MISSED * self.config.check_period && self.dead.insert(*member, true) == Some(false)
+            {
                 self.counts.died += 1;
-                out.push(Act::Holds(*member, Status::Dead));
+                out.push(Action::MemberStatusChanged(*member, Status::Dead));
             }
         }
-        let news = self.page();
-        let me = self.figures.me;
-        let others: Vec<MemberId> = self.figures.members.iter().map(|row| row.member).collect();
+        let updates = self.page();
+        let me = self.config.own_id;
+        let others: Vec<MemberId> = self.config.members.iter().map(|row| row.member).collect();
         for (nth, to) in others.into_iter().filter(|member| *member != me).enumerate() {
             self.number = self.number.wrapping_add(1);
-            let (kind, news) = if nth == 0 { (Kind::Page, news.clone()) } else { (Kind::Ping, Vec::new()) };
+            let (kind, updates) = if nth == 0 {
+                (MessageKind::StatePage, updates.clone())
+            } else {
+                (MessageKind::Ping, Vec::new())
+            };
             let message = Message {
                 kind,
                 from: me,
-                life: 1,
-                incarnation: 0,
+                incarnation: 1,
+                refutation: 0,
                 number: self.number,
                 check: 0,
                 member: NOBODY,
                 flag: false,
-                news,
-                findings: Vec::new(),
+                updates,
+                duty_results: Vec::new(),
                 signal: Vec::new(),
             };
-            let bytes = message.encode(self.figures.fleet);
+            let bytes = message.encode(self.config.fleet);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            out.push(Act::Send(to, bytes));
+            out.push(Action::SendDatagram(to, bytes));
         }
-        let every = self.figures.every;
+        let every = self.config.duty_interval;
         let due = self.duties.iter().filter(|(_, last)| last.is_none_or(|(at, _)| now - at >= every));
         let due: Vec<DutyId> = due.map(|(duty, _)| *duty).collect();
         for duty in due {
             self.duties.insert(duty, Some((now, true)));
             self.counts.done += 1;
-            out.push(Act::Do(duty));
+            out.push(Action::RunDuty(duty));
         }
     }
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         self.next_at
     }
 
-    fn duties(&mut self, _now: f64, all: &[DutyId]) {
+    fn set_duties(&mut self, _now: f64, all: &[DutyId]) {
         self.duties = all.iter().map(|duty| (*duty, self.duties.get(duty).copied().flatten())).collect();
     }
 
-    fn found(&mut self, now: f64, duty: DutyId, good: bool) {
+    fn duty_done(&mut self, now: f64, duty: DutyId, good: bool) {
         self.duties.entry(duty).and_modify(|last| *last = Some((now, good)));
     }
 
-    fn finding(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
+    fn last_result(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
         let (at, good) = self.duties.get(&duty).copied().flatten()?;
-        Some((now - at, self.figures.me, good))
+        Some((now - at, self.config.own_id, good))
     }
 
-    fn leave(&mut self, _now: f64, _out: &mut Vec<Act>) {}
+    fn leave(&mut self, _now: f64, _out: &mut Vec<Action>) {}
 
     fn standing(&self) -> Standing {
         Standing::Together
     }
 
-    fn live(&self) -> Vec<MemberId> {
+    fn live_members(&self) -> Vec<MemberId> {
         let live = self.dead.iter().filter(|(_, dead)| !**dead).map(|(member, _)| *member);
-        live.chain([self.figures.me]).collect()
+        live.chain([self.config.own_id]).collect()
     }
 
     fn counts(&self) -> &Counts {
--- a/crates/fleet/src/lend.rs
+++ b/crates/fleet/src/lending.rs
@@ -2,7 +2,7 @@
 //! [`LENGTH`] and end by themselves. Each initiator has its even part; what one can do without goes to one that waits.
 //!
 //! Units are taken from the giver's store before it says so, and count as gone there, with their room, until they have
-//! surely lapsed at the taker: [`gone`]. The taker counts from its own asking, so however late the grant is, it lapses
+//! surely lapsed at the taker: [`lender_hold`]. The taker counts from its own asking, so however late the grant is, it lapses
 //! there first. So at no moment do stores and loans on the way hold more than all even parts together, whatever is
 //! lost, late, repeated, stopped or restarted; a giver that starts again without memory fills nothing for as long.
 //! The argument: `docs/design/lending.md`; all small cases: [`crate::explore`].
@@ -49,7 +49,7 @@
 const STEPS: f64 = 64.0;
 
 /// Time that a loan counts as gone at its giver, seconds on its own clock: the giver's may run fast, the taker's slow.
-pub fn gone() -> f64 {
+pub fn lender_hold() -> f64 {
     LENGTH * (1.0 + DRIFT) / (1.0 - DRIFT)
 }
 
@@ -62,7 +62,7 @@
     Drift,
     /// A grant is taken once.
     Once,
-    /// A grant to an earlier life of the taker is not taken.
+    /// A grant to an earlier incarnation of the taker is not taken.
     Life,
     /// One that starts again fills nothing until what it may have lent has lapsed.
     Hold,
@@ -102,13 +102,13 @@
 /// The stores that units are moved between: the decision core's, or those of an explorer or a test.
 pub trait Ledger {
     /// Accounts that are shared with others, and what each can do without or waits for.
-    fn needs(&mut self, now: f64) -> Vec<Need>;
+    fn limit_balances(&mut self, now: f64) -> Vec<Need>;
     /// One of them, if it is here.
-    fn need(&mut self, now: f64, account: Account) -> Option<Need> {
-        self.needs(now).into_iter().find(|need| need.account == account)
+    fn limit_balance(&mut self, now: f64, account: Account) -> Option<Need> {
+        self.limit_balances(now).into_iter().find(|need| need.account == account)
     }
     /// Units come or go, and count up to `until`; false, and nothing done, where they are not there.
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool;
+    fn transfer(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool;
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -125,8 +125,8 @@
     account: Account,
     with: MemberId,
     number: u32,
-    /// The other's life.
-    life: u32,
+    /// The other's incarnation.
+    incarnation: u32,
     units: f64,
     until: f64,
 }
@@ -138,7 +138,7 @@
     /// Who was asked last.
     last: MemberId,
     asked: BTreeMap<MemberId, Ask>,
-    /// Who asked here, when last, in which life and by which number.
+    /// Who asked here, when last, in which incarnation and by which number.
     askers: BTreeMap<MemberId, (f64, u32, u32)>,
 }
 
@@ -150,7 +150,7 @@
     pub taken: u64,
     pub taken_units: f64,
     pub back: u64,
-    /// Grants that came too late, twice, or for an earlier life.
+    /// Grants that came too late, twice, or for an earlier incarnation.
     pub void: u64,
     pub lapsed: u64,
 }
@@ -205,15 +205,15 @@
                 of.into_iter().for_each(&mut put);
             }
             put(-1.0);
-            for (member, (at, life, number)) in &mine.askers {
-                let of = [f64::from(member.0), *at, f64::from(*life), f64::from(*number)];
+            for (member, (at, incarnation, number)) in &mine.askers {
+                let of = [f64::from(member.0), *at, f64::from(*incarnation), f64::from(*number)];
                 of.into_iter().for_each(&mut put);
             }
             put(-2.0);
         }
         for loans in [&self.given, &self.taken] {
             for loan in loans {
-                let of = [f64::from(loan.with.0), f64::from(loan.number), f64::from(loan.life)];
+                let of = [f64::from(loan.with.0), f64::from(loan.number), f64::from(loan.incarnation)];
                 of.into_iter().chain([loan.units, loan.until]).for_each(&mut put);
             }
             put(-3.0);
@@ -226,7 +226,7 @@
     }
 
     /// What is held of a member changed.
-    pub fn holds(&mut self, member: MemberId, dead: bool) {
+    pub fn set_member_dead(&mut self, member: MemberId, dead: bool) {
         if dead {
             self.dead.insert(member);
         } else {
@@ -282,7 +282,7 @@
     /// Looks at every account: says that it is here, asks for what it waits for, gives back what it does not need.
     pub fn look(&mut self, now: f64, ledger: &mut impl Ledger, out: Out) {
         self.forget(now);
-        for need in ledger.needs(now).into_iter().take(MOST_ACCOUNTS) {
+        for need in ledger.limit_balances(now).into_iter().take(MOST_ACCOUNTS) {
             let account = need.account;
             let fresh = Mine {
                 said_at: f64::NEG_INFINITY,
@@ -342,17 +342,17 @@
     fn give_back(&mut self, now: f64, need: &Need, ledger: &mut impl Ledger, out: Out) {
         let mut spare = need.spare;
         for at in 0..self.taken.len() {
-            let Loan { account, with, number, life, units, until } = self.taken[at].clone();
+            let Loan { account, with, number, incarnation, units, until } = self.taken[at].clone();
             let units = (units.min(spare) * STEPS).floor() / STEPS;
             // A loan without an end is kept for good.
             if account != need.account || units < LEAST || now >= until || until.is_infinite() {
                 continue;
             }
-            if ledger.moved(now, account, -units, until) {
+            if ledger.transfer(now, account, -units, until) {
                 spare -= units;
                 self.taken[at].units -= units;
                 self.counts.back += 1;
-                out.push((with, Part::Back { account, number, life, units }));
+                out.push((with, Part::Back { account, number, incarnation, units }));
             }
         }
     }
@@ -374,9 +374,9 @@
         }
     }
 
-    /// What another says: in which life of its, and to this one in which of its own.
-    pub fn heard(
-        &mut self, now: f64, from: MemberId, (their_life, life): (u32, u32), part: &Part,
+    /// What another says: in which incarnation of its, and to this one in which of its own.
+    pub fn part_received(
+        &mut self, now: f64, from: MemberId, (their_life, incarnation): (u32, u32), part: &Part,
         ledger: &mut impl Ledger, out: Out,
     ) {
         match part {
@@ -393,30 +393,32 @@
             Part::Ask { account, number, units } => {
                 self.asked(now, from, their_life, *account, *number, *units, ledger, out);
             }
-            Part::Grant { account, number, life: to, units } => {
+            Part::Grant { account, number, incarnation: to, units } => {
                 let theirs = (from, their_life);
-                self.granted(now, theirs, *account, *number, *to == life, *units, ledger);
+                self.granted(now, theirs, *account, *number, *to == incarnation, *units, ledger);
             }
-            Part::Back { account, number, life: to, units } => {
-                self.came_back(now, from, *account, *number, *to == life, *units, ledger);
+            Part::Back { account, number, incarnation: to, units } => {
+                self.came_back(now, from, *account, *number, *to == incarnation, *units, ledger);
             }
-            Part::News(_) => {}
+            Part::NodeReports(_) => {}
         }
     }
 
     #[allow(clippy::too_many_arguments)] // fields of a message come as plain arguments
     fn asked(
-        &mut self, now: f64, from: MemberId, life: u32, account: Account, number: u32, units: f64,
+        &mut self, now: f64, from: MemberId, incarnation: u32, account: Account, number: u32, units: f64,
         ledger: &mut impl Ledger, out: Out,
     ) {
-        let Some(need) = ledger.need(now, account) else { return };
+        let Some(need) = ledger.limit_balance(now, account) else { return };
         let without_fair = self.lacks(Safeguard::Fair);
         let Some(mine) = self.mine.get_mut(&account) else { return };
         let before = mine.askers.get(&from);
-        if before.is_some_and(|(_, known, last)| *known == life && number.wrapping_sub(*last) as i32 <= 0) {
+        if before
+            .is_some_and(|(_, known, last)| *known == incarnation && number.wrapping_sub(*last) as i32 <= 0)
+        {
             return;
         }
-        mine.askers.insert(from, (now, life, number));
+        mine.askers.insert(from, (now, incarnation, number));
         mine.askers.retain(|_, (at, ..)| now - *at < LENGTH);
         let askers = mine.askers.len() as f64;
         self.shares(now, account, from);
@@ -434,13 +436,13 @@
         if units < LEAST || self.given.len() >= MOST_LOANS || not_own {
             return;
         }
-        let wait = if self.lacks(Safeguard::Drift) { LENGTH } else { gone() };
+        let wait = if self.lacks(Safeguard::Drift) { LENGTH } else { lender_hold() };
         let until = now + wait;
-        if self.lacks(Safeguard::Sum) || ledger.moved(now, account, -units, until) {
-            self.given.push(Loan { account, with: from, number, life, units, until });
+        if self.lacks(Safeguard::Sum) || ledger.transfer(now, account, -units, until) {
+            self.given.push(Loan { account, with: from, number, incarnation, units, until });
             self.counts.given += 1;
             self.counts.given_units += units;
-            out.push((from, Part::Grant { account, number, life, units }));
+            out.push((from, Part::Grant { account, number, incarnation, units }));
         }
     }
 
@@ -466,8 +468,8 @@
             self.counts.void += 1;
             return;
         }
-        if ledger.moved(now, account, units, until) {
-            self.taken.push(Loan { account, with: from, number, life: their_life, units, until });
+        if ledger.transfer(now, account, units, until) {
+            self.taken.push(Loan { account, with: from, number, incarnation: their_life, units, until });
             self.counts.taken += 1;
             self.counts.taken_units += units;
         }
@@ -484,7 +486,7 @@
         });
         let Some(loan) = loan.filter(|_| ours) else { return };
         let units = units.min(loan.units);
-        if units > 0.0 && ledger.moved(now, account, units, loan.until) && once {
+        if units > 0.0 && ledger.transfer(now, account, units, loan.until) && once {
             loan.units -= units;
         }
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,22 +1,22 @@
 //! What the processes of a fleet agree upon, without I/O: who is in it, which nodes each one uses, who does what is
 //! to be done by one of them only, what they tell each other of nodes, and what they lend each other. Each core is a plain struct that takes events with the clock as an argument and
-//! emits [`Act`]s; a thin driver beside it, the simulation of [`sim`] and the tests drive the same code.
+//! emits [`Action`]s; a thin driver beside it, the simulation of [`simulation`] and the tests drive the same code.
 //!
 //! The published ideas behind it: SWIM (Das, Gupta, Motivala, 2002), Lifeguard (Dadgar, Phillips, Currey, 2017),
 //! rendezvous hashing (Thaler, Ravishankar, 1998). Design note: `docs/design/fleet.md`.
 
+pub mod config;
 pub mod duty;
 pub mod explore;
 mod fields;
-pub mod figures;
-pub mod lend;
+pub mod heartbeat;
+pub mod lending;
+pub mod membership;
 pub mod message;
-pub mod plain;
-pub mod roll;
 pub mod signal;
-pub mod sim;
+pub mod simulation;
 pub mod subset;
-pub mod together;
+pub mod swim;
 
 use serde::{Deserialize, Serialize};
 
@@ -36,17 +36,17 @@
 
 /// What a core asks its driver to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// One datagram to a member.
-    Send(MemberId, Vec<u8>),
-    /// This duty now, once; what was found goes back by [`Core::found`].
-    Do(DutyId),
+    SendDatagram(MemberId, Vec<u8>),
+    /// This duty now, once; what was found goes back by [`FleetCore::duty_done`].
+    RunDuty(DutyId),
     /// The process's own standing changed.
-    Standing(Standing),
+    StandingChanged(Standing),
     /// What is held of a member changed.
-    Holds(MemberId, Status),
+    MemberStatusChanged(MemberId, Status),
     /// A member's signal came.
-    Signal(MemberId, Vec<u8>),
+    SignalReceived(MemberId, Vec<u8>),
 }
 
 /// How a process stands in its fleet. It starts alone; whatever is built on the fleet is safe alone.
@@ -63,7 +63,7 @@
     Left,
 }
 
-/// What is held of a member, weakest first: of two with one incarnation the later one in this order holds.
+/// What is held of a member, weakest first: of two with one refutation the later one in this order holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
@@ -73,27 +73,27 @@
     Left,
 }
 
-/// What a fleet core does for its driver; [`together::Together`], and [`plain::Plain`] to be measured against.
-pub trait Core {
+/// What a fleet core does for its driver; [`swim::SwimMember`], and [`heartbeat::HeartbeatBaseline`] to be measured against.
+pub trait FleetCore {
     /// A datagram came.
-    fn heard(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Act>);
+    fn datagram_received(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>);
     /// Does what is due.
-    fn tick(&mut self, now: f64, out: &mut Vec<Act>);
+    fn tick(&mut self, now: f64, out: &mut Vec<Action>);
     /// When the next tick is due; one that comes later than that tells the core that it had no turn.
-    fn next_at(&self) -> f64;
+    fn next_tick_at(&self) -> f64;
     /// The duties that there are from now on, [`duty::MOST_DUTIES`] at most.
-    fn duties(&mut self, now: f64, all: &[DutyId]);
+    fn set_duties(&mut self, now: f64, all: &[DutyId]);
     /// A duty was done, and what it found: good or not.
-    fn found(&mut self, now: f64, duty: DutyId, good: bool);
+    fn duty_done(&mut self, now: f64, duty: DutyId, good: bool);
     /// What was found last of a duty, by whomever: seconds ago, by whom, good or not.
-    fn finding(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)>;
+    fn last_result(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)>;
     /// One signal to a member, 256 bytes at most; nothing while this process is out of the fleet.
-    fn signal(&mut self, _now: f64, _to: MemberId, _signal: &[u8], _out: &mut Vec<Act>) {}
+    fn send_signal(&mut self, _now: f64, _to: MemberId, _signal: &[u8], _out: &mut Vec<Action>) {}
     /// Leaves in order.
-    fn leave(&mut self, now: f64, out: &mut Vec<Act>);
+    fn leave(&mut self, now: f64, out: &mut Vec<Action>);
     fn standing(&self) -> Standing;
     /// Members held alive or suspected, this one among them.
-    fn live(&self) -> Vec<MemberId>;
+    fn live_members(&self) -> Vec<MemberId>;
     fn counts(&self) -> &Counts;
 }
 
@@ -104,7 +104,7 @@
     pub sent_bytes: u64,
     pub heard: u64,
     /// Dropped: cut short, damaged or noise; another version; another fleet; not of the list of members; of an
-    /// earlier life of its sender; said before.
+    /// earlier incarnation of its sender; said before.
     pub bad: u64,
     pub version: u64,
     pub foreign: u64,
--- a/crates/fleet/src/roll.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,12 +1,12 @@
 //! The roll: what is held of each member, and which of it is still to be told.
 //!
-//! Of two pieces of news the higher (life, incarnation, status) holds, whatever the order in which they come: late,
+//! Of two pieces of news the higher (incarnation, refutation, status) holds, whatever the order in which they come: late,
 //! repeated and reordered news change nothing. Members stay on the roll when they are dead, so that old news of them
 //! raises nobody; its size is that of the list of members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::message::{News, MOST_NEWS, NOBODY};
+use crate::message::{MemberUpdate, MAX_UPDATES, NOBODY};
 use crate::{MemberId, Status};
 
 /// Who suspects a member beside the first, at most: more change nothing about the time that it is given.
@@ -14,18 +14,18 @@
 
 #[derive(Clone, Debug)]
 pub struct Held {
-    pub life: u64,
-    pub incarnation: u32,
+    pub incarnation: u64,
+    pub refutation: u32,
     pub status: Status,
     /// While suspected: since when, and by whom.
     pub since: f64,
     pub suspectors: Vec<MemberId>,
     told: u8,
-    /// Datagrams of this life that came.
+    /// Datagrams of this incarnation that came.
     came: Came,
 }
 
-/// Numbers of one life that came: the highest, and a bit for each of the 64 up to it.
+/// Numbers of one incarnation that came: the highest, and a bit for each of the 64 up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Came(Option<(u32, u64)>);
 
@@ -104,18 +104,18 @@
         self.live
     }
 
-    /// Whether a datagram of a sender's life is new; remembered if it is.
+    /// Whether a datagram of a sender's incarnation is new; remembered if it is.
     pub fn first(&mut self, member: MemberId, number: u32) -> bool {
         self.held.get_mut(&member).and_then(Option::as_mut).is_none_or(|held| held.came.first(number))
     }
 
     /// Takes news of a member on the list.
-    pub fn take(&mut self, now: f64, news: &News) -> Changed {
+    pub fn take(&mut self, now: f64, news: &MemberUpdate) -> Changed {
         let Some(slot) = self.held.get_mut(&news.member) else { return Changed::Nothing };
-        let rank = (news.life, news.incarnation, news.status);
+        let rank = (news.incarnation, news.refutation, news.status);
         let changed = match slot {
-            Some(held) if (held.life, held.incarnation, held.status) > rank => return Changed::Nothing,
-            Some(held) if (held.life, held.incarnation, held.status) == rank => {
+            Some(held) if (held.incarnation, held.refutation, held.status) > rank => return Changed::Nothing,
+            Some(held) if (held.incarnation, held.refutation, held.status) == rank => {
                 let more = held.status == Status::Suspect
                     && held.suspectors.len() < MOST_SUSPECTORS
                     && !held.suspectors.contains(&news.by);
@@ -127,14 +127,14 @@
             }
             _ => {
                 let before = slot.as_ref().map(|held| held.status);
-                let same = slot.as_ref().filter(|held| held.life == news.life);
+                let same = slot.as_ref().filter(|held| held.incarnation == news.incarnation);
                 let (told, came) = (
                     slot.as_ref().map_or(0, |held| held.told),
                     same.map(|held| held.came).unwrap_or_default(),
                 );
                 *slot = Some(Held {
-                    life: news.life,
                     incarnation: news.incarnation,
+                    refutation: news.refutation,
                     status: news.status,
                     since: now,
                     suspectors: if news.status == Status::Suspect { vec![news.by] } else { Vec::new() },
@@ -161,20 +161,26 @@
         self.held.values_mut().flatten().for_each(|held| held.since += by);
     }
 
-    fn news(member: MemberId, held: &Held) -> News {
-        let (life, incarnation, status) = (held.life, held.incarnation, held.status);
-        News { member, life, incarnation, status, by: held.suspectors.last().copied().unwrap_or(NOBODY) }
+    fn news(member: MemberId, held: &Held) -> MemberUpdate {
+        let (incarnation, refutation, status) = (held.incarnation, held.refutation, held.status);
+        MemberUpdate {
+            member,
+            incarnation,
+            refutation,
+            status,
+            by: held.suspectors.last().copied().unwrap_or(NOBODY),
+        }
     }
 
-    pub fn news_of(&self, member: MemberId) -> Option<News> {
+    pub fn update_of(&self, member: MemberId) -> Option<MemberUpdate> {
         self.get(member).map(|held| Self::news(member, held))
     }
 
     /// The news for one datagram: first what the receiver must know of itself, then what was told least.
-    pub fn tell(&mut self, to: MemberId, most_times: u8) -> Vec<News> {
-        let own = self.news_of(to).filter(|news| news.status != Status::Alive);
-        let mut news: Vec<News> = own.into_iter().collect();
-        let picked: Vec<(u8, MemberId)> = self.queue.iter().take(MOST_NEWS - 1).copied().collect();
+    pub fn tell(&mut self, to: MemberId, most_times: u8) -> Vec<MemberUpdate> {
+        let own = self.update_of(to).filter(|news| news.status != Status::Alive);
+        let mut news: Vec<MemberUpdate> = own.into_iter().collect();
+        let picked: Vec<(u8, MemberId)> = self.queue.iter().take(MAX_UPDATES - 1).copied().collect();
         for (told, member) in picked {
             self.queue.remove(&(told, member));
             let Some(Some(held)) = self.held.get_mut(&member) else { continue };
@@ -190,11 +196,11 @@
     }
 
     /// The next part of the whole state, `most` members at most.
-    pub fn page(&mut self, most: usize) -> Vec<News> {
+    pub fn page(&mut self, most: usize) -> Vec<MemberUpdate> {
         let from = self.page_from;
         let behind = self.held.range(from..).chain(self.held.range(..from));
         let known = behind.filter_map(|(member, held)| Some(Self::news(*member, held.as_ref()?)));
-        let page: Vec<News> = known.take(most).collect();
+        let page: Vec<MemberUpdate> = known.take(most).collect();
         self.page_from = page.last().map_or(MemberId(0), |last| MemberId(last.member.0.wrapping_add(1)));
         page
     }
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/simulation.rs
@@ -7,10 +7,10 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::figures::{self, Figures, Row, Safeguard};
-use crate::plain::Plain;
-use crate::together::Together;
-use crate::{Act, Core, Counts, DutyId, MemberId, Standing, Status};
+use crate::config::{self, FleetConfig, MemberEntry, Safeguard};
+use crate::heartbeat::HeartbeatBaseline;
+use crate::swim::SwimMember;
+use crate::{Action, Counts, DutyId, FleetCore, MemberId, Standing, Status};
 
 /// Datagrams that a stopped process's socket holds.
 const HELD: usize = 200;
@@ -166,7 +166,7 @@
 
 struct Process {
     number: u16,
-    core: Option<Box<dyn Core>>,
+    core: Option<Box<dyn FleetCore>>,
     rate: f64,
     clock: f64,
     born: f64,
@@ -202,7 +202,7 @@
 /// The promise's figure: how long after the last fault that touched either of two members the one may still hold the
 /// other dead, or alive when it is not, seconds.
 pub fn bound(members: u16) -> f64 {
-    figures::settles(Figures::of("sim", 0, 1).period, usize::from(members))
+    config::convergence_time(FleetConfig::uniform("sim", 0, 1).check_period, usize::from(members))
 }
 
 /// Plays it.
@@ -335,18 +335,19 @@
 
     fn begin(&mut self, index: usize) {
         let (now, number) = (self.local(index), self.processes[index].number);
-        let mut figures = Figures::of("sim", number, self.play.members);
+        let mut config = FleetConfig::uniform("sim", number, self.play.members);
         if let Some(list) = self.play.lists.get(&number) {
-            figures.members = list.iter().map(|one| Row { member: MemberId(*one), weight: 1 }).collect();
+            config.members =
+                list.iter().map(|one| MemberEntry { member: MemberId(*one), weight: 1 }).collect();
         }
-        figures.without = self.play.without;
+        config.disabled_safeguard = self.play.without;
         let wall = 1_796_000_000.0 + self.now + self.processes[index].clock;
         let seed = self.play.seed.wrapping_mul(977).wrapping_add(index as u64);
-        let mut core: Box<dyn Core> = match self.play.plain {
-            true => Box::new(Plain::start(now, figures)),
-            false => Box::new(Together::start(now, wall, seed, figures)),
+        let mut core: Box<dyn FleetCore> = match self.play.plain {
+            true => Box::new(HeartbeatBaseline::start(now, config)),
+            false => Box::new(SwimMember::start(now, wall, seed, config)),
         };
-        core.duties(now, &self.duties);
+        core.set_duties(now, &self.duties);
         self.processes[index].core = Some(core);
         self.arm(index);
     }
@@ -354,7 +355,7 @@
     fn arm(&mut self, index: usize) {
         let process = &self.processes[index];
         let Some(core) = process.core.as_ref().filter(|_| !process.stopped) else { return };
-        let next = core.next_at();
+        let next = core.next_tick_at();
         if !next.is_finite() {
             return;
         }
@@ -367,7 +368,7 @@
         }
     }
 
-    fn turn(&mut self, index: usize, act: impl FnOnce(&mut dyn Core, f64, &mut Vec<Act>)) {
+    fn turn(&mut self, index: usize, act: impl FnOnce(&mut dyn FleetCore, f64, &mut Vec<Action>)) {
         if self.processes[index].stopped {
             return;
         }
@@ -377,16 +378,16 @@
         act(core.as_mut(), now, &mut out);
         for act in out {
             match act {
-                Act::Send(to, bytes) => self.send(index, to.0, bytes),
-                Act::Do(duty) => {
+                Action::SendDatagram(to, bytes) => self.send(index, to.0, bytes),
+                Action::RunDuty(duty) => {
                     let number = self.processes[index].number;
                     self.outcome.done.push((self.now, duty, number));
                     if let Some(core) = &mut self.processes[index].core {
-                        core.found(now, duty, true);
+                        core.duty_done(now, duty, true);
                     }
                 }
-                Act::Holds(member, status) => self.holds(index, member.0, status),
-                Act::Standing(_) | Act::Signal(..) => {}
+                Action::MemberStatusChanged(member, status) => self.holds(index, member.0, status),
+                Action::StandingChanged(_) | Action::SignalReceived(..) => {}
             }
         }
         self.arm(index);
@@ -443,7 +444,7 @@
             }
             return;
         }
-        self.turn(index, |core, now, out| core.heard(now, &bytes, out));
+        self.turn(index, |core, now, out| core.datagram_received(now, &bytes, out));
     }
 
     fn running(&self, number: u16) -> Vec<usize> {
@@ -505,7 +506,7 @@
             self.turn(index, |core, now, out| core.tick(now, out));
         }
         while let Some(bytes) = self.processes[index].inbox.pop_front() {
-            self.turn(index, |core, now, out| core.heard(now, &bytes, out));
+            self.turn(index, |core, now, out| core.datagram_received(now, &bytes, out));
         }
         self.processes[index].tick_at = u64::MAX;
         self.turn(index, |core, now, out| core.tick(now, out));
@@ -548,7 +549,7 @@
             if core.standing() == Standing::Displaced || self.now - process.touched < bound {
                 continue;
             }
-            let live: BTreeSet<u16> = core.live().into_iter().map(|member| member.0).collect();
+            let live: BTreeSet<u16> = core.live_members().into_iter().map(|member| member.0).collect();
             let listed = self.play.lists.get(&process.number);
             for number in 0..self.play.members {
                 if listed.is_some_and(|list| !list.contains(&number)) || number == process.number {
@@ -579,8 +580,8 @@
     /// No duty by two members for longer than the window, but while a cut lasts and a window after; none undone for
     /// long once the faults are over.
     fn judge_duties(&mut self) {
-        let figures = Figures::of("sim", 0, 1);
-        let (window, gap) = (figures.window, 2.5 * figures.every);
+        let config = FleetConfig::uniform("sim", 0, 1);
+        let (window, gap) = (config.takeover_window, 2.5 * config.duty_interval);
         let mut by_duty: BTreeMap<DutyId, Vec<(f64, u16)>> = BTreeMap::new();
         self.outcome
             .done
--- a/crates/fleet/src/together.rs
+++ b/crates/fleet/src/swim.rs
@@ -8,11 +8,11 @@
 
 use nanorand::{Rng, WyRand};
 
+use crate::config::{FleetConfig, MemberEntry, Safeguard, MAX_MEMBERS};
 use crate::duty::Duties;
-use crate::figures::{Figures, Row, Safeguard, MOST_MEMBERS};
-use crate::message::{Kind, Message, News, Wrong, MOST_PAGE, NOBODY};
-use crate::roll::{Changed, Roll};
-use crate::{Act, Core, Counts, DutyId, MemberId, Standing, Status};
+use crate::membership::{Changed, Roll};
+use crate::message::{DecodeError, MemberUpdate, Message, MessageKind, MAX_PAGE_UPDATES, NOBODY};
+use crate::{Action, Counts, DutyId, FleetCore, MemberId, Standing, Status};
 
 /// How much slower checks get while this process itself seems slow, at most.
 const SLOWEST: u32 = 3;
@@ -29,7 +29,7 @@
 const LIVES: u64 = 1 << 16;
 /// Answers to others in one period, at most: a process that comes back to a full socket answers no flood.
 const MOST_ANSWERS: usize = 24;
-/// Times that a process rises above another life of its name: one that started within so many windows, and an older.
+/// Times that a process rises above another incarnation of its name: one that started within so many windows, and an older.
 const YOUNG_RISES: u32 = 3;
 const OLD_RISES: u32 = 1;
 const YOUNG: f64 = 5.0;
@@ -56,11 +56,11 @@
 }
 
 /// A member of the fleet.
-pub struct Together {
-    figures: Figures,
-    life: u64,
-    incarnation: u32,
-    /// Times that it may still rise above another life of its name: what it hears of may be a leftover of its own
+pub struct SwimMember {
+    config: FleetConfig,
+    incarnation: u64,
+    refutation: u32,
+    /// Times that it may still rise above another incarnation of its name: what it hears of may be a leftover of its own
     /// last process, from before the wall clock went back, or another process that runs. Of two that run, each rises
     /// above the other until the first has no more left, so that one of them stays, the younger one mostly.
     rises: u32,
@@ -86,31 +86,32 @@
     answers: (f64, usize),
     counts: Counts,
     now: f64,
-    out: Vec<Act>,
+    out: Vec<Action>,
 }
 
-impl Together {
-    /// A member that starts at `now`, alone. `since_epoch`: the wall clock, seconds; with chance it makes a life above
+impl SwimMember {
+    /// A member that starts at `now`, alone. `since_epoch`: the wall clock, seconds; with chance it makes a incarnation above
     /// all earlier ones of this name, and where that clock went back, what others say of the name does.
-    pub fn start(now: f64, since_epoch: f64, seed: u64, figures: Figures) -> Together {
+    pub fn start(now: f64, since_epoch: f64, seed: u64, config: FleetConfig) -> SwimMember {
         let mut chance = WyRand::new_seed(seed);
-        let members: Vec<MemberId> =
-            figures.members.iter().map(|row| row.member).take(MOST_MEMBERS).collect();
-        let weight = figures.members.iter().find(|row| row.member == figures.me).map_or(1, |row| row.weight);
+        let members: Vec<MemberId> = config.members.iter().map(|row| row.member).take(MAX_MEMBERS).collect();
+        let weight =
+            config.members.iter().find(|row| row.member == config.own_id).map_or(1, |row| row.weight);
         let ms = (since_epoch.max(0.0) * 1e3) as u64;
-        let lives = figures.without != Some(Safeguard::Incarnation);
-        let life = if lives { ms * LIVES + chance.generate_range(0..LIVES) } else { 1 };
-        let yields = figures.without != Some(Safeguard::Yield);
-        let spread = chance.generate::<f64>() * figures.period;
-        let look = if figures.without == Some(Safeguard::Window) { 0.0 } else { figures.window };
-        let mut this = Together {
-            life,
-            incarnation: 0,
+        let lives = config.disabled_safeguard != Some(Safeguard::Incarnation);
+        let incarnation = if lives { ms * LIVES + chance.generate_range(0..LIVES) } else { 1 };
+        let yields = config.disabled_safeguard != Some(Safeguard::Yield);
+        let spread = chance.generate::<f64>() * config.check_period;
+        let look =
+            if config.disabled_safeguard == Some(Safeguard::Window) { 0.0 } else { config.takeover_window };
+        let mut this = SwimMember {
+            incarnation,
+            refutation: 0,
             rises: YOUNG_RISES,
             started: now,
             standing: Standing::Alone,
             roll: Roll::new(members.into_iter()),
-            duties: Duties::new(now, figures.me, weight, figures.every, yields),
+            duties: Duties::new(now, config.own_id, weight, config.duty_interval, yields),
             chance,
             slow: 0,
             turns: Vec::new(),
@@ -127,14 +128,14 @@
             counts: Counts::default(),
             now,
             out: Vec::new(),
-            figures,
+            config,
         };
         this.roll.take(now, &this.own(Status::Alive));
         this
     }
 
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// What is held of a member.
@@ -142,17 +143,17 @@
         self.roll.get(member).map(|held| held.status)
     }
 
-    fn own(&self, status: Status) -> News {
-        let (member, life, incarnation) = (self.figures.me, self.life, self.incarnation);
-        News { member, life, incarnation, status, by: NOBODY }
+    fn own(&self, status: Status) -> MemberUpdate {
+        let (member, incarnation, refutation) = (self.config.own_id, self.incarnation, self.refutation);
+        MemberUpdate { member, incarnation, refutation, status, by: NOBODY }
     }
 
     fn period(&self) -> f64 {
-        self.figures.period * f64::from(1 + self.slow)
+        self.config.check_period * f64::from(1 + self.slow)
     }
 
     fn wait(&self) -> f64 {
-        self.figures.wait * f64::from(1 + self.slow)
+        self.config.ack_timeout * f64::from(1 + self.slow)
     }
 
     fn slower(&mut self) {
@@ -165,23 +166,23 @@
 
     fn to(&mut self, standing: Standing) {
         if std::mem::replace(&mut self.standing, standing) != standing {
-            self.out.push(Act::Standing(standing));
+            self.out.push(Action::StandingChanged(standing));
         }
     }
 
     /// How long a suspicion lasts with so many suspectors, seconds.
     fn suspicion(&self, suspectors: usize) -> f64 {
-        let least = SUSPICION * (self.roll.live_count().max(10) as f64).log10() * self.figures.period;
-        let (most, wanted) = (SUSPICION_MOST * least, self.figures.helpers.max(1) as f64);
-        let confirmed = suspectors.clamp(1, self.figures.helpers + 1) as f64;
+        let least = SUSPICION * (self.roll.live_count().max(10) as f64).log10() * self.config.check_period;
+        let (most, wanted) = (SUSPICION_MOST * least, self.config.helpers.max(1) as f64);
+        let confirmed = suspectors.clamp(1, self.config.helpers + 1) as f64;
         (most - (most - least) * confirmed.ln() / (wanted + 1.0).ln()).max(least)
     }
 
     // What goes out.
 
-    /// As [`Together::send`], for what others made this process say.
-    fn answer(&mut self, to: MemberId, kind: Kind, check: u32, member: MemberId, flag: bool) {
-        if self.now >= self.answers.0 + self.figures.period {
+    /// As [`SwimMember::send`], for what others made this process say.
+    fn answer(&mut self, to: MemberId, kind: MessageKind, check: u32, member: MemberId, flag: bool) {
+        if self.now >= self.answers.0 + self.config.check_period {
             self.answers = (self.now, 0);
         }
         if self.answers.1 < MOST_ANSWERS {
@@ -190,13 +191,13 @@
         }
     }
 
-    fn send(&mut self, to: MemberId, kind: Kind, check: u32, member: MemberId, flag: bool) {
+    fn send(&mut self, to: MemberId, kind: MessageKind, check: u32, member: MemberId, flag: bool) {
         let times = self.most_times();
-        let (news, findings) = if kind == Kind::Page {
-            let mut page = self.roll.page(MOST_PAGE);
+        let (updates, duty_results) = if kind == MessageKind::StatePage {
+            let mut page = self.roll.page(MAX_PAGE_UPDATES);
             // What the receiver must know of itself goes first, whatever the page.
-            if let Some(own) = self.roll.news_of(to).filter(|own| !page.contains(own)) {
-                page.truncate(MOST_PAGE - 1);
+            if let Some(own) = self.roll.update_of(to).filter(|own| !page.contains(own)) {
+                page.truncate(MAX_PAGE_UPDATES - 1);
                 page.insert(0, own);
             }
             (page, Vec::new())
@@ -204,19 +205,32 @@
             (self.roll.tell(to, times), self.duties.tell(self.now, times))
         };
         self.number = self.number.wrapping_add(1);
-        let (from, life, incarnation, number) = (self.figures.me, self.life, self.incarnation, self.number);
+        let (from, incarnation, refutation, number) =
+            (self.config.own_id, self.incarnation, self.refutation, self.number);
         let signal = Vec::new();
         self.put(
             to,
-            Message { kind, from, life, incarnation, number, check, member, flag, news, findings, signal },
+            Message {
+                kind,
+                from,
+                incarnation,
+                refutation,
+                number,
+                check,
+                member,
+                flag,
+                updates,
+                duty_results,
+                signal,
+            },
         );
     }
 
     fn put(&mut self, to: MemberId, message: Message) {
-        let bytes = message.encode(self.figures.fleet);
+        let bytes = message.encode(self.config.fleet);
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.out.push(Act::Send(to, bytes));
+        self.out.push(Action::SendDatagram(to, bytes));
     }
 
     /// Some members of those given, by chance.
@@ -227,19 +241,19 @@
     }
 
     fn others(&self) -> Vec<MemberId> {
-        self.roll.live().filter(|member| *member != self.figures.me).collect()
+        self.roll.live().filter(|member| *member != self.config.own_id).collect()
     }
 
     // What comes in.
 
-    /// News of a member, from whomever.
-    fn take(&mut self, news: &News) {
-        if news.member == self.figures.me {
+    /// MemberUpdate of a member, from whomever.
+    fn take(&mut self, news: &MemberUpdate) {
+        if news.member == self.config.own_id {
             return self.of_me(news);
         }
-        let before = self.roll.get(news.member).map(|held| held.life);
+        let before = self.roll.get(news.member).map(|held| held.incarnation);
         match self.roll.take(self.now, news) {
-            Changed::From(was) if was != Some(news.status) || before != Some(news.life) => {
+            Changed::From(was) if was != Some(news.status) || before != Some(news.incarnation) => {
                 match (was, news.status) {
                     (_, Status::Suspect) => self.counts.suspected += 1,
                     (Some(Status::Suspect), Status::Alive) => self.counts.cleared += 1,
@@ -252,30 +266,30 @@
                     let at = self.chance.generate_range(0..=self.turns.len());
                     self.turns.insert(at, news.member);
                 }
-                self.out.push(Act::Holds(news.member, news.status));
+                self.out.push(Action::MemberStatusChanged(news.member, news.status));
                 self.duties.look(self.now);
             }
             Changed::From(_) | Changed::Confirmed | Changed::Nothing => {}
         }
     }
 
-    /// News of this process itself: a suspicion is refuted; a later life of its name takes its place.
-    fn of_me(&mut self, news: &News) {
-        let without = self.figures.without;
-        if news.life > self.life {
-            if self.now - self.started > YOUNG * self.figures.window {
+    /// MemberUpdate of this process itself: a suspicion is refuted; a later incarnation of its name takes its place.
+    fn of_me(&mut self, news: &MemberUpdate) {
+        let without = self.config.disabled_safeguard;
+        if news.incarnation > self.incarnation {
+            if self.now - self.started > YOUNG * self.config.takeover_window {
                 self.rises = self.rises.min(OLD_RISES);
             }
             let free = news.status >= Status::Dead && self.standing == Standing::Displaced;
             if self.rises > 0 || free || without == Some(Safeguard::Twins) {
-                // The low bits by chance: two that rise above the same life must not end up with one.
+                // The low bits by chance: two that rise above the same incarnation must not end up with one.
                 let low = self.chance.generate_range(0..LIVES);
-                let above = (news.life | (LIVES - 1)).saturating_add(1 + low);
-                (self.life, self.incarnation, self.rises) = (above, 0, self.rises.saturating_sub(1));
+                let above = (news.incarnation | (LIVES - 1)).saturating_add(1 + low);
+                (self.incarnation, self.refutation, self.rises) = (above, 0, self.rises.saturating_sub(1));
                 self.roll.take(self.now, &self.own(Status::Alive));
                 if free {
                     (self.check_at, self.page_at) = (self.now, self.now);
-                    self.look_on(self.figures.window);
+                    self.look_on(self.config.takeover_window);
                     self.to(Standing::Alone);
                 }
             } else {
@@ -284,12 +298,12 @@
             }
             return;
         }
-        if news.life < self.life {
+        if news.incarnation < self.incarnation {
             return;
         }
-        let against = news.status != Status::Alive || news.incarnation > self.incarnation;
-        if against && news.incarnation >= self.incarnation && without != Some(Safeguard::Refutation) {
-            self.incarnation = news.incarnation.saturating_add(1);
+        let against = news.status != Status::Alive || news.refutation > self.refutation;
+        if against && news.refutation >= self.refutation && without != Some(Safeguard::Refutation) {
+            self.refutation = news.refutation.saturating_add(1);
             self.counts.refuted += 1;
             self.slower();
             self.roll.take(self.now, &self.own(Status::Alive));
@@ -299,18 +313,18 @@
     fn dispatch(&mut self, message: &Message) {
         let (from, check, member) = (message.from, message.check, message.member);
         match message.kind {
-            Kind::Ping => {
-                self.answer(from, Kind::Ack, check, self.figures.me, false);
+            MessageKind::Ping => {
+                self.answer(from, MessageKind::Ack, check, self.config.own_id, false);
                 if member != NOBODY && member != from && self.roll.lists(member) {
-                    self.answer(member, Kind::Ack, check, self.figures.me, false);
+                    self.answer(member, MessageKind::Ack, check, self.config.own_id, false);
                 }
             }
-            Kind::Ack => {
+            MessageKind::Ack => {
                 if let Some(at) =
                     self.orders.iter().position(|order| order.number == check && order.target == member)
                 {
                     let order = self.orders.swap_remove(at);
-                    self.answer(order.origin, Kind::Ack, check, member, false);
+                    self.answer(order.origin, MessageKind::Ack, check, member, false);
                 }
                 let ours = self.check.as_mut().filter(|ours| ours.number == check && ours.target == member);
                 if let Some(ours) = ours.filter(|ours| !ours.answered) {
@@ -318,37 +332,40 @@
                     self.slow = self.slow.saturating_sub(1);
                 }
             }
-            Kind::Ask => {
-                if member == self.figures.me {
-                    self.answer(from, Kind::Ack, check, member, false);
+            MessageKind::PingRequest => {
+                if member == self.config.own_id {
+                    self.answer(from, MessageKind::Ack, check, member, false);
                 } else if self.orders.len() < MOST_ORDERS && self.roll.lists(member) {
-                    let nack_at = self.now + 0.8 * self.figures.wait;
+                    let nack_at = self.now + 0.8 * self.config.ack_timeout;
                     self.orders.push(Order { number: check, origin: from, target: member, nack_at });
-                    self.answer(member, Kind::Ping, check, from, false);
+                    self.answer(member, MessageKind::Ping, check, from, false);
                 }
             }
-            Kind::Nack => {
+            MessageKind::Nack => {
                 let ours = self.check.as_mut().filter(|ours| ours.number == check);
                 ours.into_iter().for_each(|ours| ours.nacks += 1);
             }
-            Kind::Page => {
+            MessageKind::StatePage => {
                 if message.flag {
-                    self.answer(from, Kind::Page, 0, NOBODY, false);
+                    self.answer(from, MessageKind::StatePage, 0, NOBODY, false);
                 } else if self.catch_up > 0 {
                     self.catch_up -= 1;
-                    self.answer(from, Kind::Page, 0, NOBODY, true);
+                    self.answer(from, MessageKind::StatePage, 0, NOBODY, true);
                 }
             }
-            Kind::Signal => self.out.push(Act::Signal(from, message.signal.clone())),
+            MessageKind::Signal => self.out.push(Action::SignalReceived(from, message.signal.clone())),
         }
     }
 
     /// A process that comes to its turn late has lost what came meanwhile, or has yet to read it: nothing that it
     /// waited for is held against anybody, and it looks on before it does duties.
     fn turn(&mut self, now: f64) {
-        let late = now - self.next_at();
+        let late = now - self.next_tick_at();
         self.now = now;
-        if late <= self.figures.wait || !late.is_finite() || self.figures.without == Some(Safeguard::Turn) {
+        if late <= self.config.ack_timeout
+            || !late.is_finite()
+            || self.config.disabled_safeguard == Some(Safeguard::Turn)
+        {
             return;
         }
         self.counts.no_turn += 1;
@@ -356,18 +373,18 @@
         self.check = None;
         self.orders.clear();
         self.roll.put_off(late);
-        (self.check_at, self.page_at) = (now + self.figures.wait, now);
+        (self.check_at, self.page_at) = (now + self.config.ack_timeout, now);
         // Others may have taken over from here on, and not before: a process that stands still again and again for
         // less than that would otherwise look on for ever.
         if late > self.suspicion(usize::MAX) {
             self.duties.put_off();
-            self.look_on(self.figures.window / 2.0);
+            self.look_on(self.config.takeover_window / 2.0);
             self.to(Standing::Alone);
         }
     }
 
     fn look_on(&mut self, time: f64) {
-        if self.figures.without != Some(Safeguard::Window) {
+        if self.config.disabled_safeguard != Some(Safeguard::Window) {
             self.look_until = self.look_until.max(self.now + time);
         }
     }
@@ -382,9 +399,9 @@
                 self.slower();
             }
             let held = self.roll.get(check.target).filter(|held| held.status <= Status::Suspect);
-            if let Some((life, incarnation)) = held.map(|held| (held.life, held.incarnation)) {
-                let (member, by) = (check.target, self.figures.me);
-                self.take(&News { member, life, incarnation, status: Status::Suspect, by });
+            if let Some((incarnation, refutation)) = held.map(|held| (held.incarnation, held.refutation)) {
+                let (member, by) = (check.target, self.config.own_id);
+                self.take(&MemberUpdate { member, incarnation, refutation, status: Status::Suspect, by });
             }
         }
         if self.turns.is_empty() {
@@ -398,7 +415,7 @@
             let number = self.chance.generate();
             let began = self.now;
             self.check = Some(Check { target, number, began, helpers: 0, nacks: 0, answered: false });
-            self.send(target, Kind::Ping, number, NOBODY, false);
+            self.send(target, MessageKind::Ping, number, NOBODY, false);
             break;
         }
         self.check_at = self.now + self.period();
@@ -410,15 +427,17 @@
         let late = |check: &&mut Check| !check.answered && check.helpers == 0 && now >= check.began + wait;
         let Some(check) = self.check.as_mut().filter(late) else { return };
         let (target, number) = (check.target, check.number);
-        if self.figures.without == Some(Safeguard::Helpers) {
+        if self.config.disabled_safeguard == Some(Safeguard::Helpers) {
             return;
         }
         let others = self.others().into_iter().filter(|member| *member != target).collect();
-        let helpers = self.some(others, self.figures.helpers);
+        let helpers = self.some(others, self.config.helpers);
         if let Some(check) = &mut self.check {
             check.helpers = helpers.len();
         }
-        helpers.into_iter().for_each(|helper| self.send(helper, Kind::Ask, number, target, false));
+        helpers
+            .into_iter()
+            .for_each(|helper| self.send(helper, MessageKind::PingRequest, number, target, false));
     }
 
     fn nacks(&mut self) {
@@ -431,7 +450,7 @@
             .collect();
         self.orders.retain(|order| order.nack_at > now);
         late.into_iter().for_each(|(number, origin, target)| {
-            self.answer(origin, Kind::Nack, number, target, false);
+            self.answer(origin, MessageKind::Nack, number, target, false);
         });
     }
 
@@ -440,9 +459,10 @@
     fn next_page(&mut self) {
         let alone = self.standing == Standing::Alone;
         // Not slowed: it is what halves find each other by.
-        self.page_at = self.now + PAGE_EVERY * self.figures.period * if alone { 0.5 } else { 1.0 };
-        let me = self.figures.me;
-        let live = |held: Option<&crate::roll::Held>| held.is_some_and(|held| held.status <= Status::Suspect);
+        self.page_at = self.now + PAGE_EVERY * self.config.check_period * if alone { 0.5 } else { 1.0 };
+        let me = self.config.own_id;
+        let live =
+            |held: Option<&crate::membership::Held>| held.is_some_and(|held| held.status <= Status::Suspect);
         let missing: Vec<MemberId> = self
             .roll
             .all()
@@ -453,35 +473,35 @@
         let after = missing.iter().find(|member| **member > self.dead_turn).or(missing.first());
         if let Some(one) = after.copied() {
             self.dead_turn = one;
-            self.send(one, Kind::Page, 0, NOBODY, true);
+            self.send(one, MessageKind::StatePage, 0, NOBODY, true);
         }
         let knocks = if alone { KNOCKS } else { 1 };
         let others = if alone { missing } else { self.others() };
         let some = self.some(others, knocks);
-        some.into_iter().for_each(|member| self.send(member, Kind::Page, 0, NOBODY, true));
+        some.into_iter().for_each(|member| self.send(member, MessageKind::StatePage, 0, NOBODY, true));
     }
 
     fn expire(&mut self) {
         let now = self.now;
-        let over = |held: &crate::roll::Held| {
+        let over = |held: &crate::membership::Held| {
             held.status == Status::Suspect && now - held.since >= self.suspicion(held.suspectors.len())
         };
-        let dead: Vec<News> = self
+        let dead: Vec<MemberUpdate> = self
             .roll
             .all()
             .filter(|(_, held)| held.is_some_and(over))
-            .filter_map(|(member, _)| self.roll.news_of(member))
+            .filter_map(|(member, _)| self.roll.update_of(member))
             .collect();
-        dead.into_iter().for_each(|news| self.take(&News { status: Status::Dead, ..news }));
+        dead.into_iter().for_each(|news| self.take(&MemberUpdate { status: Status::Dead, ..news }));
     }
 
     fn do_duties(&mut self) {
         if self.duties.next_at() > self.now {
             return;
         }
-        let rows = self.figures.members.iter();
+        let rows = self.config.members.iter();
         let live: Vec<(MemberId, u8)> = rows
-            .filter(|Row { member, .. }| {
+            .filter(|MemberEntry { member, .. }| {
                 self.roll.get(*member).is_some_and(|held| held.status <= Status::Suspect)
             })
             .map(|row| (row.member, row.weight))
@@ -489,7 +509,7 @@
         let due = self.duties.due(self.now, self.roll.version, &live, self.look_until);
         self.counts.done += due.len() as u64;
         self.counts.yielded = self.duties.yielded;
-        self.out.extend(due.into_iter().map(Act::Do));
+        self.out.extend(due.into_iter().map(Action::RunDuty));
     }
 
     fn is_out(&self) -> bool {
@@ -497,8 +517,8 @@
     }
 }
 
-impl Core for Together {
-    fn heard(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Act>) {
+impl FleetCore for SwimMember {
+    fn datagram_received(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>) {
         if self.standing == Standing::Left {
             return;
         }
@@ -509,23 +529,23 @@
         } else {
             self.turn(now);
         }
-        let any = self.figures.without == Some(Safeguard::Version);
-        let decoded = Message::decode_any(self.figures.fleet, bytes, any);
+        let any = self.config.disabled_safeguard == Some(Safeguard::Version);
+        let decoded = Message::decode_any(self.config.fleet, bytes, any);
         let message = match decoded {
             Ok(message) => message,
             Err(wrong) => {
                 *match wrong {
-                    Wrong::Bad => &mut self.counts.bad,
-                    Wrong::Version => &mut self.counts.version,
-                    Wrong::Foreign => &mut self.counts.foreign,
+                    DecodeError::Malformed => &mut self.counts.bad,
+                    DecodeError::WrongVersion => &mut self.counts.version,
+                    DecodeError::OtherFleet => &mut self.counts.foreign,
                 } += 1;
                 return;
             }
         };
         let from = message.from;
         if displaced {
-            let me = self.figures.me;
-            let own = message.news.iter().find(|news| news.member == me && news.status >= Status::Dead);
+            let me = self.config.own_id;
+            let own = message.updates.iter().find(|news| news.member == me && news.status >= Status::Dead);
             own.into_iter().for_each(|news| self.of_me(news));
             out.append(&mut self.out);
             return;
@@ -534,28 +554,30 @@
             self.counts.unknown += 1;
             return;
         }
-        let (life, incarnation) = (message.life, message.incarnation);
-        let said = News { member: from, life, incarnation, status: Status::Alive, by: NOBODY };
-        if from == self.figures.me {
+        let (incarnation, refutation) = (message.incarnation, message.refutation);
+        let said = MemberUpdate { member: from, incarnation, refutation, status: Status::Alive, by: NOBODY };
+        if from == self.config.own_id {
             // Under this name: an echo, or another process.
-            if life != self.life {
+            if incarnation != self.incarnation {
                 self.of_me(&said);
             }
             self.counts.repeated += 1;
             out.append(&mut self.out);
             return;
         }
-        if self.roll.get(from).is_some_and(|held| held.life > life) {
+        if self.roll.get(from).is_some_and(|held| held.incarnation > incarnation) {
             self.counts.old += 1;
-            // Started behind its own earlier life, it may be: it has to hear of that.
+            // Started behind its own earlier incarnation, it may be: it has to hear of that.
             if message.flag {
-                self.answer(from, Kind::Page, 0, NOBODY, false);
+                self.answer(from, MessageKind::StatePage, 0, NOBODY, false);
             }
             out.append(&mut self.out);
             return;
         }
         self.take(&said);
-        if !self.roll.first(from, message.number) && self.figures.without != Some(Safeguard::Repeats) {
+        if !self.roll.first(from, message.number)
+            && self.config.disabled_safeguard != Some(Safeguard::Repeats)
+        {
             self.counts.repeated += 1;
             out.append(&mut self.out);
             return;
@@ -563,19 +585,19 @@
         self.counts.heard += 1;
         self.heard_at = now;
         if self.standing == Standing::Alone {
-            self.look_on(self.figures.window / 2.0);
-            self.catch_up = self.figures.members.len().div_ceil(MOST_PAGE);
+            self.look_on(self.config.takeover_window / 2.0);
+            self.catch_up = self.config.members.len().div_ceil(MAX_PAGE_UPDATES);
             self.to(Standing::Together);
         }
-        message.news.iter().for_each(|news| self.take(news));
-        message.findings.iter().for_each(|finding| self.duties.told(now, from, finding));
+        message.updates.iter().for_each(|news| self.take(news));
+        message.duty_results.iter().for_each(|finding| self.duties.told(now, from, finding));
         if !self.is_out() {
             self.dispatch(&message);
         }
         out.append(&mut self.out);
     }
 
-    fn tick(&mut self, now: f64, out: &mut Vec<Act>) {
+    fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         if self.is_out() {
             return;
         }
@@ -596,7 +618,7 @@
         out.append(&mut self.out);
     }
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         if self.is_out() {
             return f64::INFINITY;
         }
@@ -608,35 +630,48 @@
         next.min(self.duties.next_at().max(self.look_until))
     }
 
-    fn duties(&mut self, now: f64, all: &[DutyId]) {
+    fn set_duties(&mut self, now: f64, all: &[DutyId]) {
         self.duties.set(now, all);
     }
 
-    fn found(&mut self, now: f64, duty: DutyId, good: bool) {
+    fn duty_done(&mut self, now: f64, duty: DutyId, good: bool) {
         self.duties.found(now, duty, good);
     }
 
-    fn finding(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
+    fn last_result(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
         self.duties.last(now, duty)
     }
 
-    fn signal(&mut self, now: f64, to: MemberId, signal: &[u8], out: &mut Vec<Act>) {
-        if self.is_out() || signal.len() > crate::signal::LONGEST {
+    fn send_signal(&mut self, now: f64, to: MemberId, signal: &[u8], out: &mut Vec<Action>) {
+        if self.is_out() || signal.len() > crate::signal::MAX_SIGNAL_BYTES {
             return;
         }
         self.now = now;
         self.number = self.number.wrapping_add(1);
-        let (from, life, incarnation, number) = (self.figures.me, self.life, self.incarnation, self.number);
-        let (news, findings, signal) = (Vec::new(), Vec::new(), signal.to_vec());
-        let (kind, check, member, flag) = (Kind::Signal, 0, NOBODY, false);
+        let (from, incarnation, refutation, number) =
+            (self.config.own_id, self.incarnation, self.refutation, self.number);
+        let (updates, duty_results, signal) = (Vec::new(), Vec::new(), signal.to_vec());
+        let (kind, check, member, flag) = (MessageKind::Signal, 0, NOBODY, false);
         self.put(
             to,
-            Message { kind, from, life, incarnation, number, check, member, flag, news, findings, signal },
+            Message {
+                kind,
+                from,
+                incarnation,
+                refutation,
+                number,
+                check,
+                member,
+                flag,
+                updates,
+                duty_results,
+                signal,
+            },
         );
         out.append(&mut self.out);
     }
 
-    fn leave(&mut self, now: f64, out: &mut Vec<Act>) {
+    fn leave(&mut self, now: f64, out: &mut Vec<Action>) {
         if self.is_out() {
             return;
         }
@@ -644,7 +679,7 @@
         self.roll.take(now, &self.own(Status::Left));
         let others = self.others();
         let told = self.some(others, usize::from(self.most_times()));
-        told.into_iter().for_each(|member| self.send(member, Kind::Page, 0, NOBODY, false));
+        told.into_iter().for_each(|member| self.send(member, MessageKind::StatePage, 0, NOBODY, false));
         self.to(Standing::Left);
         out.append(&mut self.out);
     }
@@ -653,7 +688,7 @@
         self.standing
     }
 
-    fn live(&self) -> Vec<MemberId> {
+    fn live_members(&self) -> Vec<MemberId> {
         self.roll.live().collect()
     }
 
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/hard_cases.rs
@@ -3,11 +3,13 @@
 
 use std::collections::BTreeMap;
 
-use quaypath_fleet::figures::{Figures, Safeguard};
-use quaypath_fleet::message::{seal, Kind, Message, News, LONGEST, NOBODY};
-use quaypath_fleet::sim::{bound, overlaps, play, Outcome, Play, Trouble};
-use quaypath_fleet::together::Together;
-use quaypath_fleet::{Act, Core, DutyId, MemberId, Standing, Status};
+use quaypath_fleet::config::{FleetConfig, Safeguard};
+use quaypath_fleet::message::{
+    append_checksum, MemberUpdate, Message, MessageKind, MAX_DATAGRAM_BYTES, NOBODY,
+};
+use quaypath_fleet::simulation::{bound, overlaps, play, Outcome, Play, Trouble};
+use quaypath_fleet::swim::SwimMember;
+use quaypath_fleet::{Action, DutyId, FleetCore, MemberId, Standing, Status};
 use test_case::test_case;
 
 fn calm(members: u16) -> Play {
@@ -119,7 +121,7 @@
     let outcome = play(&play_it);
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.broken);
     assert!(struck(&outcome), "the fault did not strike: {outcome:?}");
-    assert!(outcome.longest <= LONGEST);
+    assert!(outcome.longest <= MAX_DATAGRAM_BYTES);
 }
 
 /// Troubles drawn by seed; 10^5 of them are run outside by the example `seeds`.
@@ -160,7 +162,7 @@
     assert!(!outcome.broken.is_empty(), "nothing notices that {without:?} is missing");
 }
 
-/// A process that starts again is believed at once; without a life above its last one each of its datagrams counts as
+/// A process that starts again is believed at once; without a incarnation above its last one each of its datagrams counts as
 /// one that came before, and it is suspected and suspected again.
 #[test_case(None, false; "with lives that rise")]
 #[test_case(Some(Safeguard::Incarnation), true; "without")]
@@ -190,52 +192,52 @@
 
 /// One member by hand, with its clock, in a fleet of three; and what others say.
 struct One {
-    core: Together,
+    core: SwimMember,
     now: f64,
 }
 
-fn others_message(from: u16, number: u32, kind: Kind, news: Vec<News>) -> Message {
-    let (life, incarnation, check, member) = (100, 0, number, NOBODY);
-    let findings = Vec::new();
+fn others_message(from: u16, number: u32, kind: MessageKind, updates: Vec<MemberUpdate>) -> Message {
+    let (incarnation, refutation, check, member) = (100, 0, number, NOBODY);
+    let duty_results = Vec::new();
     Message {
         kind,
         from: MemberId(from),
-        life,
         incarnation,
+        refutation,
         number,
         check,
         member,
         flag: false,
-        news,
-        findings,
+        updates,
+        duty_results,
         signal: Vec::new(),
     }
 }
 
 impl One {
     fn start(without: Option<Safeguard>) -> One {
-        let mut figures = Figures::of(FLEET, 0, 3);
-        figures.without = without;
-        let mut core = Together::start(0.0, 1.0, 1, figures);
-        core.duties(0.0, &(0..64).map(|nth| DutyId::of(&nth.to_string())).collect::<Vec<_>>());
+        let mut config = FleetConfig::uniform(FLEET, 0, 3);
+        config.disabled_safeguard = without;
+        let mut core = SwimMember::start(0.0, 1.0, 1, config);
+        core.set_duties(0.0, &(0..64).map(|nth| DutyId::of(&nth.to_string())).collect::<Vec<_>>());
         One { core, now: 0.0 }
     }
 
-    fn hear(&mut self, message: &Message) -> Vec<Act> {
-        self.hear_bytes(&message.encode(quaypath_fleet::message::fleet(FLEET)))
+    fn hear(&mut self, message: &Message) -> Vec<Action> {
+        self.hear_bytes(&message.encode(quaypath_fleet::message::fleet_hash(FLEET)))
     }
 
-    fn hear_bytes(&mut self, bytes: &[u8]) -> Vec<Act> {
+    fn hear_bytes(&mut self, bytes: &[u8]) -> Vec<Action> {
         let mut out = Vec::new();
-        self.core.heard(self.now, bytes, &mut out);
+        self.core.datagram_received(self.now, bytes, &mut out);
         out
     }
 
     /// Runs on in time with its ticks, as others say nothing.
-    fn run(&mut self, until: f64) -> Vec<Act> {
+    fn run(&mut self, until: f64) -> Vec<Action> {
         let mut out = Vec::new();
-        while self.core.next_at() <= until {
-            self.now = self.core.next_at().max(self.now);
+        while self.core.next_tick_at() <= until {
+            self.now = self.core.next_tick_at().max(self.now);
             self.core.tick(self.now, &mut out);
         }
         self.now = until;
@@ -243,7 +245,7 @@
     }
 
     /// Has no turn until then.
-    fn stop(&mut self, until: f64) -> Vec<Act> {
+    fn stop(&mut self, until: f64) -> Vec<Action> {
         let mut out = Vec::new();
         self.now = until;
         self.core.tick(self.now, &mut out);
@@ -256,14 +258,15 @@
 #[test_case(Some(Safeguard::Turn), true; "without")]
 fn a_stop_declares_nobody_dead(without: Option<Safeguard>, dies: bool) {
     let mut one = One::start(without);
-    one.hear(&others_message(1, 1, Kind::Ping, Vec::new()));
-    one.hear(&others_message(2, 1, Kind::Ping, Vec::new()));
+    one.hear(&others_message(1, 1, MessageKind::Ping, Vec::new()));
+    one.hear(&others_message(2, 1, MessageKind::Ping, Vec::new()));
     let by = MemberId(2);
-    let suspect = News { member: MemberId(1), life: 100, incarnation: 0, status: Status::Suspect, by };
-    one.hear(&others_message(2, 2, Kind::Ping, vec![suspect]));
+    let suspect =
+        MemberUpdate { member: MemberId(1), incarnation: 100, refutation: 0, status: Status::Suspect, by };
+    one.hear(&others_message(2, 2, MessageKind::Ping, vec![suspect]));
     assert_eq!(one.core.status(MemberId(1)), Some(Status::Suspect));
     let out = one.stop(30.0);
-    assert_eq!(out.contains(&Act::Holds(MemberId(1), Status::Dead)), dies);
+    assert_eq!(out.contains(&Action::MemberStatusChanged(MemberId(1), Status::Dead)), dies);
 }
 
 /// A process that had no turn looks on before it does what others may have taken over.
@@ -271,11 +274,11 @@
 #[test_case(Some(Safeguard::Window), true; "without")]
 fn a_stop_is_followed_by_looking_on(without: Option<Safeguard>, does: bool) {
     let mut one = One::start(without);
-    one.hear(&others_message(1, 1, Kind::Ping, Vec::new()));
-    let done = |acts: &[Act]| acts.iter().any(|act| matches!(act, Act::Do(_)));
+    one.hear(&others_message(1, 1, MessageKind::Ping, Vec::new()));
+    let done = |acts: &[Action]| acts.iter().any(|act| matches!(act, Action::RunDuty(_)));
     assert!(done(&one.run(12.0)), "it does its duties before the stop");
     let mut out = one.stop(20.0);
-    out.extend(one.hear(&others_message(1, 2, Kind::Ping, Vec::new())));
+    out.extend(one.hear(&others_message(1, 2, MessageKind::Ping, Vec::new())));
     out.extend(one.run(21.0));
     assert_eq!(done(&out), does);
     assert!(done(&one.run(40.0)), "it does them again later");
@@ -311,11 +314,11 @@
 #[test_case(Some(Safeguard::Repeats), 2; "without")]
 fn a_datagram_is_answered_once(without: Option<Safeguard>, answers: usize) {
     let mut one = One::start(without);
-    let ping = others_message(1, 5, Kind::Ping, Vec::new());
+    let ping = others_message(1, 5, MessageKind::Ping, Vec::new());
     let mut out = one.hear(&ping);
     one.now = 0.01;
     out.extend(one.hear(&ping));
-    assert_eq!(out.iter().filter(|act| matches!(act, Act::Send(MemberId(1), _))).count(), answers);
+    assert_eq!(out.iter().filter(|act| matches!(act, Action::SendDatagram(MemberId(1), _))).count(), answers);
 }
 
 /// A datagram of another version, whole by its check, that says in this version's form that a member is dead.
@@ -323,12 +326,13 @@
 #[test_case(Some(Safeguard::Version), Some(Status::Dead); "without")]
 fn another_version_is_not_read(without: Option<Safeguard>, held: Option<Status>) {
     let mut one = One::start(without);
-    let dead = News { member: MemberId(2), life: 5, incarnation: 0, status: Status::Dead, by: NOBODY };
-    let fleet = quaypath_fleet::message::fleet(FLEET);
-    let mut bytes = others_message(1, 1, Kind::Ping, vec![dead]).encode(fleet);
+    let dead =
+        MemberUpdate { member: MemberId(2), incarnation: 5, refutation: 0, status: Status::Dead, by: NOBODY };
+    let fleet = quaypath_fleet::message::fleet_hash(FLEET);
+    let mut bytes = others_message(1, 1, MessageKind::Ping, vec![dead]).encode(fleet);
     bytes.truncate(bytes.len() - 8);
     bytes[2] = 0;
-    seal(fleet, &mut bytes);
+    append_checksum(fleet, &mut bytes);
     one.hear_bytes(&bytes);
     assert_eq!(one.core.status(MemberId(2)), held);
     assert_eq!(one.core.counts().version, u64::from(held.is_none()));
@@ -338,10 +342,10 @@
 #[test]
 fn what_is_not_of_this_fleet_is_dropped_and_counted() {
     let mut one = One::start(None);
-    let good = others_message(1, 1, Kind::Ping, Vec::new());
-    let fleet = quaypath_fleet::message::fleet(FLEET);
+    let good = others_message(1, 1, MessageKind::Ping, Vec::new());
+    let fleet = quaypath_fleet::message::fleet_hash(FLEET);
     assert!(one.hear_bytes(&good.encode(fleet ^ 1)).is_empty());
-    assert!(one.hear(&others_message(9, 1, Kind::Ping, Vec::new())).is_empty());
+    assert!(one.hear(&others_message(9, 1, MessageKind::Ping, Vec::new())).is_empty());
     let mut spoilt = good.encode(fleet);
     spoilt[20] ^= 4;
     assert!(one.hear_bytes(&spoilt).is_empty());
@@ -350,7 +354,7 @@
     assert_eq!(one.core.standing(), Standing::Alone);
     assert!(!one.hear(&good).is_empty());
     assert_eq!(one.core.standing(), Standing::Together);
-    assert!(one.hear(&Message { life: 99, number: 2, ..good }).is_empty());
+    assert!(one.hear(&Message { incarnation: 99, number: 2, ..good }).is_empty());
     let counts = one.core.counts();
     assert_eq!((counts.foreign, counts.unknown, counts.bad, counts.old), (1, 1, 3, 1));
 }
--- a/crates/fleet/tests/lending.rs
+++ b/crates/fleet/tests/lending.rs
@@ -7,8 +7,11 @@
 use quaypath::store::Store;
 use quaypath::types::{Account, BlockId, Need};
 use quaypath_fleet::explore::{explore, replay, walk, Bounds};
-use quaypath_fleet::lend::{gone, Ledger, Safeguard, LENGTH};
-use quaypath_fleet::signal::{Figures, Host, Manner, News, Part, Signal, Signals, Wrong, LONGEST};
+use quaypath_fleet::lending::{lender_hold, Ledger, Safeguard, LENGTH};
+use quaypath_fleet::signal::{
+    DecodeError, NodeReport, Part, Signal, SignalBehavior, SignalConfig, SignalHost, Signals,
+    MAX_SIGNAL_BYTES,
+};
 use quaypath_fleet::MemberId;
 use test_case::test_case;
 
@@ -98,34 +101,34 @@
         let mut versioned = bytes;
         versioned.insert(0, quaypath_fleet::signal::VERSION);
         if let Ok(signal) = Signal::decode(&versioned) {
-            prop_assert!(signal.parts.iter().map(Part::length).sum::<usize>() <= LONGEST);
+            prop_assert!(signal.parts.iter().map(Part::length).sum::<usize>() <= MAX_SIGNAL_BYTES);
         }
     }
 
     #[test]
-    fn what_is_encoded_decodes_to_itself(life: u32, number: u32, account: u64, ask: u32, units in 0u16.., stay in 0u8.., answers in 1u8.., age in 0u8.., members in prop::collection::vec(0u16.., 0..16)) {
+    fn what_is_encoded_decodes_to_itself(incarnation: u32, number: u32, account: u64, ask: u32, units in 0u16.., latency_ratio in 0u8.., answers in 1u8.., age in 0u8.., members in prop::collection::vec(0u16.., 0..16)) {
         let (account, units) = (Account(account), f64::from(units) / 64.0);
-        let news = News { block: BlockId(7), stay: f64::from(stay) / 100.0, answers: f64::from(answers), age: f64::from(age) / 50.0 };
+        let news = NodeReport { block: BlockId(7), latency_ratio: f64::from(latency_ratio) / 100.0, answers: f64::from(answers), age: f64::from(age) / 50.0 };
         let parts = vec![
-            Part::News(vec![news; 3]), Part::Here(account),
+            Part::NodeReports(vec![news; 3]), Part::Here(account),
             Part::Sharers(account, members.into_iter().map(MemberId).collect()),
             Part::Ask { account, number: ask, units },
-            Part::Grant { account, number: ask, life, units },
-            Part::Back { account, number: ask, life, units },
+            Part::Grant { account, number: ask, incarnation, units },
+            Part::Back { account, number: ask, incarnation, units },
         ];
-        let signal = Signal { life, number, parts };
+        let signal = Signal { incarnation, number, parts };
         let bytes = signal.encode();
-        prop_assert!(bytes.len() <= LONGEST);
+        prop_assert!(bytes.len() <= MAX_SIGNAL_BYTES);
         prop_assert_eq!(Signal::decode(&bytes), Ok(signal));
     }
 }
 
-#[test_case(b"", Wrong::Bad; "nothing")]
-#[test_case(&[9, 0, 0, 0, 0, 0, 0, 0, 0], Wrong::Version; "another version")]
-#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 9], Wrong::Bad; "no such part")]
-#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 200, 1], Wrong::Bad; "entries past the end")]
-#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 192, 127], Wrong::Bad; "units that are no number")]
-fn bad_signals_are_refused(bytes: &[u8], wrong: Wrong) {
+#[test_case(b"", DecodeError::Malformed; "nothing")]
+#[test_case(&[9, 0, 0, 0, 0, 0, 0, 0, 0], DecodeError::WrongVersion; "another version")]
+#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 9], DecodeError::Malformed; "no such part")]
+#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 200, 1], DecodeError::Malformed; "entries past the end")]
+#[test_case(&[1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 192, 127], DecodeError::Malformed; "units that are no number")]
+fn bad_signals_are_refused(bytes: &[u8], wrong: DecodeError) {
     assert_eq!(Signal::decode(bytes), Err(wrong));
 }
 
@@ -138,31 +141,31 @@
     cap: f64,
     wants: f64,
     spent: f64,
-    heard: Vec<News>,
+    heard: Vec<NodeReport>,
     out: Vec<(MemberId, Vec<u8>)>,
 }
 
 impl Ledger for One {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
-        self.need(now, ACCOUNT).into_iter().collect()
+    fn limit_balances(&mut self, now: f64) -> Vec<Need> {
+        self.limit_balance(now, ACCOUNT).into_iter().collect()
     }
-    fn need(&mut self, now: f64, account: Account) -> Option<Need> {
+    fn limit_balance(&mut self, now: f64, account: Account) -> Option<Need> {
         self.store.fill(now, self.rate, self.cap);
         let over = self.store.level - self.wants;
         (account == ACCOUNT).then_some(Need { account, spare: over.max(0.0), wants: (-over).max(0.0) })
     }
-    fn moved(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
+    fn transfer(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
         self.store.fill(now, self.rate, self.cap);
         self.store.shift(units, until)
     }
 }
 
-impl Host for One {
-    fn tell(&mut self, to: MemberId, bytes: &[u8]) {
+impl SignalHost for One {
+    fn send_signal(&mut self, to: MemberId, bytes: &[u8]) {
         self.out.push((to, bytes.to_vec()));
     }
-    fn news(&mut self, _: f64, news: &News) {
-        self.heard.push(*news);
+    fn node_report_received(&mut self, _: f64, report: &NodeReport) {
+        self.heard.push(*report);
     }
 }
 
@@ -175,17 +178,17 @@
     sent: usize,
 }
 
-fn figures(me: u16, members: u16, life: u32, without: Option<Safeguard>) -> Figures {
+fn config(me: u16, members: u16, incarnation: u32, without: Option<Safeguard>) -> SignalConfig {
     let members = (0..members).map(MemberId).collect();
-    Figures {
-        me: MemberId(me),
+    SignalConfig {
+        own_id: MemberId(me),
         members,
-        life,
+        incarnation,
         seed: u64::from(me) + 1,
-        tells: true,
+        sends_reports: true,
         lends: true,
-        price: 0.0,
-        without,
+        message_cost: 0.0,
+        disabled_safeguard: without,
     }
 }
 
@@ -202,7 +205,7 @@
                 heard: Vec::new(),
                 out: Vec::new(),
             };
-            (Signals::start(0.0, figures(me, members, 1, without)), one)
+            (Signals::start(0.0, config(me, members, 1, without)), one)
         };
         Group {
             now: 0.0,
@@ -231,14 +234,14 @@
                 let (_, from, to, bytes) = self.net.pop_front().unwrap();
                 if !self.dead.contains(&to) {
                     let (signals, one) = &mut self.ones[usize::from(to)];
-                    signals.heard(self.now, MemberId(from), &bytes, one);
+                    signals.signal_received(self.now, MemberId(from), &bytes, one);
                 }
             }
             for (at, (signals, one)) in self.ones.iter_mut().enumerate() {
                 if self.dead.contains(&(at as u16)) {
                     continue;
                 }
-                if self.now >= signals.next_at() {
+                if self.now >= signals.next_tick_at() {
                     signals.tick(self.now, one);
                 }
                 one.store.fill(self.now, one.rate, one.cap);
@@ -259,7 +262,7 @@
     let mut group = Group::of(4, None);
     if let Some(dead) = dead {
         group.dead.push(dead);
-        group.ones.iter_mut().for_each(|(signals, _)| signals.holds(MemberId(dead), true));
+        group.ones.iter_mut().for_each(|(signals, _)| signals.set_member_dead(MemberId(dead), true));
     }
     group.run(1.0);
     group.ones[0].1.wants = 1000.0;
@@ -284,7 +287,7 @@
 fn one_that_shouts_gains_nothing_beyond_its_part(without: Option<Safeguard>, fair: bool) {
     let mut group = Group::of(4, without);
     group.run(1.0);
-    group.ones[0].0.behave(Manner::Shouts);
+    group.ones[0].0.set_behavior(SignalBehavior::ClaimsAlways);
     group.ones[0].1.wants = 1e6;
     group.run(2.0);
     group.ones[1].1.wants = 1000.0;
@@ -303,12 +306,12 @@
     group.ones[0].1.wants = 1000.0;
     group.run(5.0);
     group.ones[0].1.wants = 0.0;
-    group.run(gone() + 2.0);
+    group.run(lender_hold() + 2.0);
     let levels: Vec<f64> = group.ones.iter().map(|(_, one)| one.store.level).collect();
     assert_eq!(levels, [4.0; 3]);
 }
 
-/// Grants to an earlier life of the taker, and messages of an earlier life of the sender, are void.
+/// Grants to an earlier incarnation of the taker, and messages of an earlier incarnation of the sender, are void.
 #[test]
 fn lives_are_told_apart() {
     let mut group = Group::of(2, None);
@@ -318,38 +321,47 @@
     while !group.net.iter().any(|(_, from, ..)| *from == 0) || group.ones[0].0.counts().lend.asked == 0 {
         group.run(0.01);
     }
-    group.ones[0].0 = Signals::start(group.now, figures(0, 2, 2, None));
+    group.ones[0].0 = Signals::start(group.now, config(0, 2, 2, None));
     group.ones[0].1.wants = 0.0;
     group.run(0.2);
     assert_eq!(group.ones[1].0.counts().lend.given, 1);
     assert_eq!((group.ones[0].0.counts().lend.taken, group.ones[0].0.counts().lend.void), (0, 1));
-    // The earlier life speaks once more.
-    let late = Signal { life: 1, number: 900, parts: vec![Part::Here(ACCOUNT)] }.encode();
+    // The earlier incarnation speaks once more.
+    let late = Signal { incarnation: 1, number: 900, parts: vec![Part::Here(ACCOUNT)] }.encode();
     group.run(0.1);
     let now = group.now;
     let (signals, one) = &mut group.ones[1];
-    signals.heard(now, MemberId(0), &Signal { life: 2, number: 500, parts: Vec::new() }.encode(), one);
-    signals.heard(now, MemberId(0), &late, one);
+    signals.signal_received(
+        now,
+        MemberId(0),
+        &Signal { incarnation: 2, number: 500, parts: Vec::new() }.encode(),
+        one,
+    );
+    signals.signal_received(now, MemberId(0), &late, one);
     assert_eq!(signals.counts().old, 1);
 }
 
-/// News are counted once, by when they were measured; another's are not told on.
+/// NodeReport are counted once, by when they were measured; another's are not told on.
 #[test_case(None, 1, true; "as it is")]
 #[test_case(Some(Safeguard::Repeats), 2, true; "without dropping repeats")]
 #[test_case(Some(Safeguard::Age), 1, false; "without ages")]
 fn news_count_once_and_by_age(without: Option<Safeguard>, times: usize, aged: bool) {
     let mut group = Group::of(2, without);
-    let (now, old) = (5.0, News { block: BlockId(3), stay: 1.5, answers: 2.0, age: 1.0 });
-    let bytes = Signal { life: 1, number: 1, parts: vec![Part::News(vec![old])] }.encode();
+    let (now, old) = (5.0, NodeReport { block: BlockId(3), latency_ratio: 1.5, answers: 2.0, age: 1.0 });
+    let bytes = Signal { incarnation: 1, number: 1, parts: vec![Part::NodeReports(vec![old])] }.encode();
     let (signals, one) = &mut group.ones[1];
-    signals.heard(now, MemberId(0), &bytes, one);
-    signals.heard(now + 0.1, MemberId(0), &bytes, one);
+    signals.signal_received(now, MemberId(0), &bytes, one);
+    signals.signal_received(now + 0.1, MemberId(0), &bytes, one);
     assert_eq!(one.heard.len(), times);
     assert_eq!(one.heard[0].age == 1.0, aged);
     // Too old to say anything.
-    let stale =
-        Signal { life: 1, number: 2, parts: vec![Part::News(vec![News { age: 5.0, ..old }])] }.encode();
-    signals.heard(now, MemberId(0), &stale, one);
+    let stale = Signal {
+        incarnation: 1,
+        number: 2,
+        parts: vec![Part::NodeReports(vec![NodeReport { age: 5.0, ..old }])],
+    }
+    .encode();
+    signals.signal_received(now, MemberId(0), &stale, one);
     assert_eq!(one.heard.len(), if aged { times } else { times + 1 });
 }
 
@@ -359,8 +371,8 @@
     let mut group = Group::of(6, None);
     for _ in 0..40 {
         let now = group.now;
-        group.ones[0].0.seen(now, BlockId(1), 0.9);
-        group.ones[0].0.seen(now, BlockId(2), 0.1);
+        group.ones[0].0.observe_latency(now, BlockId(1), 0.9);
+        group.ones[0].0.observe_latency(now, BlockId(2), 0.1);
         group.run(0.1);
     }
     let told: BTreeMap<i64, usize> =
--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -4,7 +4,7 @@
 //! The first duty is the probe of the node that holds a part of the data: its access states are read on an
 //! association's admin queue, which is kept as a spare connection for as long as the duty is this member's.
 //!
-//! Bounds: datagrams of [`LONGEST`] bytes, [`BATCH`] of them before others have a turn; probes end with the connect
+//! Bounds: datagrams of [`MAX_DATAGRAM_BYTES`] bytes, [`BATCH`] of them before others have a turn; probes end with the connect
 //! time-out; associations kept are of nodes that this member was given last.
 
 use std::cell::RefCell;
@@ -20,12 +20,12 @@
 use futures_lite::future::yield_now;
 use futures_lite::FutureExt;
 use quaypath::types::{BlockId, NodeId};
-use quaypath_fleet::figures::Figures;
-use quaypath_fleet::message::LONGEST;
-use quaypath_fleet::plain::Plain;
-use quaypath_fleet::signal::{self, Manner};
-use quaypath_fleet::together::Together;
-use quaypath_fleet::{Act, Core, Counts, DutyId, MemberId, Standing, Status};
+use quaypath_fleet::config::FleetConfig;
+use quaypath_fleet::heartbeat::HeartbeatBaseline;
+use quaypath_fleet::message::MAX_DATAGRAM_BYTES;
+use quaypath_fleet::signal::{self, SignalBehavior};
+use quaypath_fleet::swim::SwimMember;
+use quaypath_fleet::{Action, Counts, DutyId, FleetCore, MemberId, Standing, Status};
 use quaypath_nvme::admin::{get_log, log};
 use quaypath_nvme::host::Offer;
 use quaypath_record::Clock;
@@ -85,7 +85,7 @@
 pub struct Options {
     pub socket: Rc<UdpSocket>,
     pub addresses: BTreeMap<MemberId, SocketAddr>,
-    pub figures: Figures,
+    pub figures: FleetConfig,
     pub seed: u64,
     /// Host name at the nodes that are probed, and how long a probe may take, seconds.
     pub name: String,
@@ -94,20 +94,20 @@
     pub plain: bool,
     pub skew: Skew,
     /// What initiators tell and lend each other; none where the settings switch both off.
-    pub signals: Option<signal::Figures>,
+    pub signals: Option<signal::SignalConfig>,
     pub manner: Spoken,
 }
 
 /// How the process signals, as a day's script sets it while it runs.
 #[derive(Clone, Default)]
-pub struct Spoken(Arc<Mutex<Manner>>);
+pub struct Spoken(Arc<Mutex<SignalBehavior>>);
 
 impl Spoken {
-    pub fn set(&self, manner: Manner) {
+    pub fn set(&self, manner: SignalBehavior) {
         *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = manner;
     }
 
-    fn get(&self) -> Manner {
+    fn get(&self) -> SignalBehavior {
         *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
@@ -115,7 +115,7 @@
 type Home = Weak<RefCell<Instance>>;
 
 pub struct Fleet {
-    core: Box<dyn Core>,
+    core: Box<dyn FleetCore>,
     options: Options,
     clock: Clock,
     instance: Home,
@@ -144,9 +144,9 @@
     let (now, _) = options.skew.shows(clock.now());
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
     let figures = options.figures.clone();
-    let core: Box<dyn Core> = match options.plain {
-        true => Box::new(Plain::start(now, figures)),
-        false => Box::new(Together::start(now, wall, options.seed, figures)),
+    let core: Box<dyn FleetCore> = match options.plain {
+        true => Box::new(HeartbeatBaseline::start(now, figures)),
+        false => Box::new(SwimMember::start(now, wall, options.seed, figures)),
     };
     options.socket.set_nonblocking(true)?;
     let fleet = Rc::new(RefCell::new(Fleet {
@@ -173,7 +173,7 @@
 async fn hear(fleet: Weak<RefCell<Fleet>>) {
     let Some(socket) = fleet.upgrade().map(|fleet| fleet.borrow().options.socket.clone()) else { return };
     let Ok(readable) = Async::new_nonblocking(socket.clone()) else { return };
-    let mut bytes = [0; LONGEST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let mut count = 0;
         while count < BATCH {
@@ -185,7 +185,7 @@
             };
             count += 1;
             let Some(fleet) = fleet.upgrade() else { return };
-            fleet.borrow_mut().turn(|core, now, out| core.heard(now, &bytes[..length], out));
+            fleet.borrow_mut().turn(|core, now, out| core.datagram_received(now, &bytes[..length], out));
         }
         if count == BATCH {
             yield_now().await;
@@ -206,7 +206,7 @@
         let (Some(fleet), Some(instance)) = (fleet.upgrade(), instance.upgrade()) else { return };
         let tells = instance.borrow_mut().tells();
         for (to, bytes) in tells {
-            fleet.borrow_mut().turn(|core, now, out| core.signal(now, to, &bytes, out));
+            fleet.borrow_mut().turn(|core, now, out| core.send_signal(now, to, &bytes, out));
         }
     }
 }
@@ -217,7 +217,7 @@
             let Some(fleet) = fleet.upgrade() else { return };
             let this = fleet.borrow();
             let (now, rate) = this.now();
-            let wait = ((this.core.next_at() - now) / rate).clamp(0.0, LOOK);
+            let wait = ((this.core.next_tick_at() - now) / rate).clamp(0.0, LOOK);
             (wait, this.wake.clone())
         };
         let timer = async {
@@ -232,7 +232,7 @@
         if !this.look() {
             return;
         }
-        if this.now().0 >= this.core.next_at() {
+        if this.now().0 >= this.core.next_tick_at() {
             this.turn(|core, now, out| core.tick(now, out));
         }
     }
@@ -258,13 +258,13 @@
             holders.into_iter().map(|(block, node)| (probe_of(block), (block, node))).collect();
         if !probed.keys().eq(self.probed.keys()) {
             let duties: Vec<DutyId> = probed.keys().copied().collect();
-            self.core.duties(now, &duties);
+            self.core.set_duties(now, &duties);
         }
         self.probed = probed;
         let listed: Vec<&NodeId> = self.probed.values().map(|(_, node)| node).collect();
         self.spare.retain(|node, _| listed.contains(&node));
         for (duty, (block, node)) in &self.probed {
-            let Some((ago, by, good)) = self.core.finding(now, *duty) else { continue };
+            let Some((ago, by, good)) = self.core.last_result(now, *duty) else { continue };
             if self.good.insert(*duty, good).is_some_and(|before| before != good) {
                 info!(block = block.0, node = %node.0, good, by = by.0, ago, "probe");
             }
@@ -272,37 +272,37 @@
         if now - self.reported_at > REPORT {
             self.reported_at = now;
             let counts = serde_json::to_string(self.counts()).unwrap_or_default();
-            info!(counts, live = self.core.live().len(), standing = ?self.core.standing(), "fleet");
+            info!(counts, live = self.core.live_members().len(), standing = ?self.core.standing(), "fleet");
         }
         true
     }
 
-    fn turn(&mut self, act: impl FnOnce(&mut dyn Core, f64, &mut Vec<Act>)) {
-        let before = self.core.next_at();
+    fn turn(&mut self, act: impl FnOnce(&mut dyn FleetCore, f64, &mut Vec<Action>)) {
+        let before = self.core.next_tick_at();
         let mut out = Vec::new();
         let (now, _) = self.now();
         act(self.core.as_mut(), now, &mut out);
         for act in out {
             match act {
-                Act::Send(to, bytes) => self.send(to, &bytes),
-                Act::Do(duty) => self.probe(duty),
-                Act::Standing(Standing::Displaced) => {
+                Action::SendDatagram(to, bytes) => self.send(to, &bytes),
+                Action::RunDuty(duty) => self.probe(duty),
+                Action::StandingChanged(Standing::Displaced) => {
                     warn!("another process has this one's number in the fleet and started later; kept out from now on");
                 }
-                Act::Standing(standing) => info!(?standing, "fleet"),
-                Act::Holds(member, status) => {
+                Action::StandingChanged(standing) => info!(?standing, "fleet"),
+                Action::MemberStatusChanged(member, status) => {
                     info!(member = member.0, ?status, "fleet");
                     let instance = self.instance.upgrade();
                     let dead = matches!(status, Status::Dead | Status::Left);
                     instance.iter().for_each(|instance| instance.borrow_mut().holds(member, dead));
                 }
-                Act::Signal(from, bytes) => {
+                Action::SignalReceived(from, bytes) => {
                     let instance = self.instance.upgrade();
                     instance.iter().for_each(|one| turn(one, |this| this.signalled(from, bytes.clone())));
                 }
             }
         }
-        if self.core.next_at() < before {
+        if self.core.next_tick_at() < before {
             self.wake.tell();
         }
     }
@@ -332,7 +332,7 @@
                 Err(error) => debug!(node = %node.0, %error, "probe"),
             }
             let (now, _) = this.now();
-            this.core.found(now, duty, good);
+            this.core.duty_done(now, duty, good);
         };
         spawn(&executor, TaskKind::Fleet, Peer::None, probe);
     }
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -17,7 +17,7 @@
 use async_io::Async;
 use nanorand::{Rng, WyRand};
 use quaypath::types::*;
-use quaypath_fleet::signal::{Manner, Signals};
+use quaypath_fleet::signal::{SignalBehavior, Signals};
 use quaypath_fleet::MemberId;
 use quaypath_nvme::admin::{plain, Do};
 use quaypath_nvme::association::Associations;
@@ -415,12 +415,12 @@
 
     /// What is held of a member changed.
     pub fn holds(&mut self, member: MemberId, dead: bool) {
-        self.shares.iter_mut().for_each(|shares| shares.signals.holds(member, dead));
+        self.shares.iter_mut().for_each(|shares| shares.signals.set_member_dead(member, dead));
     }
 
     /// How this process signals from now on, by a day's script.
-    pub fn behave(&mut self, manner: Manner) {
-        self.shares.iter_mut().for_each(|shares| shares.signals.behave(manner));
+    pub fn behave(&mut self, manner: SignalBehavior) {
+        self.shares.iter_mut().for_each(|shares| shares.signals.set_behavior(manner));
     }
 
     /// Signals for members, and who waits for them.
--- a/crates/initiator/src/shares.rs
+++ b/crates/initiator/src/shares.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use quaypath::types::{Account, Need, Shared};
-use quaypath_fleet::lend::Ledger;
-use quaypath_fleet::signal::{Host, News, Signals};
+use quaypath_fleet::lending::Ledger;
+use quaypath_fleet::signal::{NodeReport, SignalHost, Signals};
 use quaypath_fleet::MemberId;
 
 use crate::core::{Actions, Core};
@@ -30,14 +30,14 @@
     /// Gives the signals what the core saw, and a turn if one is due; when the timer is to be set for, if anew.
     pub fn settle(&mut self, now: f64, core: &mut dyn Core, actions: &mut Actions) -> Option<f64> {
         let seen = actions.1.as_mut().map(std::mem::take).unwrap_or_default();
-        self.turn(core, actions, |signals, books| signals.settle(now, seen, books))
+        self.turn(core, actions, |signals, books| signals.run_due(now, seen, books))
     }
 
     /// A member's message.
     pub fn heard(
         &mut self, now: f64, from: MemberId, bytes: &[u8], core: &mut dyn Core, actions: &mut Actions,
     ) {
-        self.turn(core, actions, |signals, books| signals.heard(now, from, bytes, books));
+        self.turn(core, actions, |signals, books| signals.signal_received(now, from, bytes, books));
     }
 
     fn turn<R>(
@@ -60,22 +60,22 @@
 }
 
 impl Ledger for Books<'_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn limit_balances(&mut self, now: f64) -> Vec<Need> {
         self.core.needs(now)
     }
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
+    fn transfer(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
         self.core.shared(now, Shared::Units(account, units, until), self.actions)
     }
 }
 
-impl Host for Books<'_> {
-    fn tell(&mut self, to: MemberId, bytes: &[u8]) {
+impl SignalHost for Books<'_> {
+    fn send_signal(&mut self, to: MemberId, bytes: &[u8]) {
         if self.tells.len() < MOST_WAITING {
             self.tells.push_back((to, bytes.to_vec()));
         }
     }
-    fn news(&mut self, now: f64, news: &News) {
-        let News { block, stay, answers, age } = *news;
-        self.core.shared(now, Shared::Stay(block, stay, answers, age), self.actions);
+    fn node_report_received(&mut self, now: f64, report: &NodeReport) {
+        let NodeReport { block, latency_ratio, answers, age } = *report;
+        self.core.shared(now, Shared::Stay(block, latency_ratio, answers, age), self.actions);
     }
 }
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -11,9 +11,9 @@
 use async_signal::{Signal, Signals};
 use clap::Parser;
 use futures_lite::{FutureExt, StreamExt};
-use quaypath_fleet::figures::{Figures, Row};
-use quaypath_fleet::lend::{gone, Safeguard};
-use quaypath_fleet::signal::{self, Manner};
+use quaypath_fleet::config::{FleetConfig, MemberEntry};
+use quaypath_fleet::lending::{lender_hold, Safeguard};
+use quaypath_fleet::signal::{self, SignalBehavior};
 use quaypath_fleet::{message, MemberId};
 use quaypath_initiator::fleet::{self, Skew, Spoken};
 use quaypath_initiator::{core, run, Options};
@@ -109,9 +109,9 @@
         ["clock", rate, step] => {
             skew.set(Clock::default().now(), number(rate, 10.0)?, number(step, 86400.0)?)
         }
-        ["signals", "well"] => spoken.set(Manner::Well),
-        ["signals", "shouts"] => spoken.set(Manner::Shouts),
-        ["signals", "stale"] => spoken.set(Manner::Stale),
+        ["signals", "well"] => spoken.set(SignalBehavior::Correct),
+        ["signals", "shouts"] => spoken.set(SignalBehavior::ClaimsAlways),
+        ["signals", "stale"] => spoken.set(SignalBehavior::StaleReports),
         [] => {}
         _ => {
             let known = "'disk SECONDS', 'clock RATE STEP' or 'signals well|shouts|stale'";
@@ -149,19 +149,19 @@
 }
 
 /// What this number tells and lends to others; none where that is switched off.
-fn signals(arguments: &Arguments, of: &Talk, seed: u64) -> Option<signal::Figures> {
+fn signals(arguments: &Arguments, of: &Talk, seed: u64) -> Option<signal::SignalConfig> {
     let how = arguments.signals.unwrap_or(of.signals);
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let figures = signal::Figures {
-        me: MemberId(arguments.number as u16),
+    let figures = signal::SignalConfig {
+        own_id: MemberId(arguments.number as u16),
         members: of.member.iter().map(|member| MemberId(member.number)).collect(),
         // Hundredths of a second, over and over: of two lives the one ahead by less than half of all is the later.
-        life: wall.map_or(0, |since| (since.as_millis() / 10) as u32),
+        incarnation: wall.map_or(0, |since| (since.as_millis() / 10) as u32),
         seed,
-        tells: matches!(how, Signalled::News | Signalled::All),
+        sends_reports: matches!(how, Signalled::News | Signalled::All),
         lends: matches!(how, Signalled::Parts | Signalled::All),
-        price: 0.0,
-        without: arguments.without,
+        message_cost: 0.0,
+        disabled_safeguard: arguments.without,
     };
     (how != Signalled::None && !arguments.careless).then_some(figures)
 }
@@ -196,21 +196,23 @@
         None => own.address.parse().map_err(|_| format!("fleet, member {number}: address"))?,
     };
     let socket = UdpSocket::bind(listen).map_err(|error| format!("fleet: listen on {listen}: {error}"))?;
-    let row =
-        |member: &quaypath_settings::Member| Row { member: MemberId(member.number), weight: member.weight };
+    let row = |member: &quaypath_settings::Member| MemberEntry {
+        member: MemberId(member.number),
+        weight: member.weight,
+    };
     Ok(fleet::Options {
         socket: Rc::new(socket),
         addresses,
-        figures: Figures {
-            me: MemberId(number),
-            fleet: message::fleet(&of.name),
+        figures: FleetConfig {
+            own_id: MemberId(number),
+            fleet: message::fleet_hash(&of.name),
             members: of.member.iter().map(row).collect(),
-            period: of.period,
-            wait: of.wait,
+            check_period: of.period,
+            ack_timeout: of.wait,
             helpers: usize::from(of.helpers),
-            every: of.probe_every,
-            window: of.window,
-            without: None,
+            duty_interval: of.probe_every,
+            takeover_window: of.window,
+            disabled_safeguard: None,
         },
         seed,
         name: format!("nqn.2026-12.example.quaypath:initiator:{number}"),
@@ -252,7 +254,7 @@
     };
     let lends = fleet.as_ref().and_then(|fleet| fleet.signals.as_ref()).is_some_and(|signals| signals.lends);
     if lends && arguments.without != Some(Safeguard::Hold) {
-        deployment.core.hold = gone();
+        deployment.core.hold = lender_hold();
     }
     let options = Options {
         deployment: Rc::new(deployment),
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -15,7 +15,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use quaypath_fleet::message::{Kind, Message, LONGEST};
+use quaypath_fleet::message::{Message, MessageKind, MAX_DATAGRAM_BYTES};
 use quaypath_fleet::Status;
 use quaypath_record::{Event as Line, Writer};
 use quaypath_settings::{FaultKind, Party};
@@ -140,7 +140,8 @@
             .collect::<io::Result<_>>()?;
         let state = Shared::default();
         let (opens, opened) = bounded(1024);
-        let (shared, ears) = (state.clone(), Ears { fleet: quaypath_fleet::message::fleet(fleet), record });
+        let (shared, ears) =
+            (state.clone(), Ears { fleet: quaypath_fleet::message::fleet_hash(fleet), record });
         let running = Running::start("links", move |executor| {
             let weak = Rc::downgrade(executor);
             let late = Rc::new(std::cell::Cell::new(0));
@@ -270,7 +271,7 @@
 
 impl Relay {
     async fn run(mut self, executor: Weak<LocalExecutor<'static>>) {
-        let mut bytes = vec![0; 2 * LONGEST];
+        let mut bytes = vec![0; 2 * MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
             let Some(executor) = executor.upgrade() else { return };
@@ -322,9 +323,9 @@
         let Ok(message) = Message::decode(self.ears.fleet, bytes) else { return };
         // A page is what its sender holds; of other news only what is new from it.
         let mut told = self.told.borrow_mut();
-        let said = message.news.iter().filter(|news| {
+        let said = message.updates.iter().filter(|news| {
             let before = told.insert((gateway, process, news.member.0), news.status);
-            message.kind == Kind::Page || before != Some(news.status)
+            message.kind == MessageKind::StatePage || before != Some(news.status)
         });
         let said: Vec<_> = said.collect();
         if said.is_empty() {
@@ -336,7 +337,7 @@
             news.map(|news| u32::from(news.member.0)).collect()
         };
         let (live, dead) = (those(&[Status::Alive, Status::Suspect]), those(&[Status::Dead]));
-        let life = message.life;
+        let life = message.incarnation;
         self.ears.record.put(Line::View { t, gateway, process, life, live, dead });
     }
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -12,8 +12,8 @@
     Account, BandId, BlockId, Condition, ExtentId, ListScope, Listed, Need, NodeId, Outbox, Outcome, PlanId,
     Shared, TransactionId, VolumeId,
 };
-use quaypath_fleet::lend::{gone, Ledger};
-use quaypath_fleet::signal::{Figures, Host, News, Signals};
+use quaypath_fleet::lending::{lender_hold, Ledger};
+use quaypath_fleet::signal::{NodeReport, SignalConfig, SignalHost, Signals};
 use quaypath_fleet::MemberId;
 use quaypath_settings::pairs::{self, Names, Pairs};
 
@@ -177,20 +177,24 @@
 struct Books<'a, 'b>(&'a mut Brain, &'a mut Reply<'b>);
 
 impl Ledger for Books<'_, '_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn limit_balances(&mut self, now: f64) -> Vec<Need> {
         self.0.needs(now)
     }
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
+    fn transfer(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
         self.0.shared(now, Shared::Units(account, units, until), self.1)
     }
 }
 
-impl Host for Books<'_, '_> {
-    fn tell(&mut self, to: MemberId, bytes: &[u8]) {
+impl SignalHost for Books<'_, '_> {
+    fn send_signal(&mut self, to: MemberId, bytes: &[u8]) {
         self.1.tell(Some(u64::from(to.0)), bytes);
     }
-    fn news(&mut self, now: f64, news: &News) {
-        self.0.shared(now, Shared::Stay(news.block, news.stay, news.answers, news.age), self.1);
+    fn node_report_received(&mut self, now: f64, report: &NodeReport) {
+        self.0.shared(
+            now,
+            Shared::Stay(report.block, report.latency_ratio, report.answers, report.age),
+            self.1,
+        );
     }
 }
 
@@ -199,7 +203,7 @@
     fn settle(&mut self, now: f64, out: &mut Reply) {
         let Some(signals) = &mut self.signals else { return };
         let seen = std::mem::take(&mut out.seen);
-        if let Some(at) = signals.settle(now, seen, &mut Books(&mut self.brain, out)) {
+        if let Some(at) = signals.run_due(now, seen, &mut Books(&mut self.brain, out)) {
             out.set_timer(at - now, SIGNALS);
         }
     }
@@ -210,10 +214,19 @@
     let (me, all) = (pairs.optional::<u16>("Me")?, pairs.needed::<f64>("Balancers")?);
     let Some(me) = me.filter(|_| pairs.flag("Ceilings.Peers")) else { return Ok(None) };
     let members: Vec<MemberId> = (0..all.clamp(1.0, 65535.0) as u16).map(MemberId).collect();
-    let life = (now.max(0.0) * 100.0) as u32;
-    let (tells, lends, price) = (true, true, pairs.number("Deductions.Peer")?);
-    let figures = Figures { me: MemberId(me), members, life, seed, tells, lends, price, without: None };
-    Ok(Some(Signals::start(now, figures)))
+    let incarnation = (now.max(0.0) * 100.0) as u32;
+    let (sends_reports, lends, message_cost) = (true, true, pairs.number("Deductions.Peer")?);
+    let config = SignalConfig {
+        own_id: MemberId(me),
+        members,
+        incarnation,
+        seed,
+        sends_reports,
+        lends,
+        message_cost,
+        disabled_safeguard: None,
+    };
+    Ok(Some(Signals::start(now, config)))
 }
 
 struct Lines<R> {
@@ -352,7 +365,7 @@
             });
             let (mut settings, names, signals) =
                 decoded.map_err(|what| format!("START: field Params: {what}"))?;
-            settings.hold = if signals.is_some() { gone() } else { 0.0 };
+            settings.hold = if signals.is_some() { lender_hold() } else { 0.0 };
             let brain = Brain::start(now, seed, settings, out);
             let mut instance = Instance { brain, names, signals };
             instance.settle(now, out);
@@ -451,7 +464,7 @@
             let bytes: Option<Vec<u8>> = (0..hex.len()).step_by(2).map(byte).collect();
             let bytes = bytes.ok_or_else(|| format!("PEER: field Payload: cannot read '{hex}'"))?;
             if let (Some(signals), Ok(author)) = (signals, u16::try_from(author)) {
-                signals.heard(now, MemberId(author), &bytes, &mut Books(brain, out));
+                signals.signal_received(now, MemberId(author), &bytes, &mut Books(brain, out));
             }
         }
         other => return Err(format!("{other}: unknown event")),
