--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -15,13 +15,13 @@
 
 use async_io::{Async, Timer};
 use quaypath::types::Condition;
-use quaypath_initiator::list::Entry;
+use quaypath_initiator::node_list::NodeEntry;
 use quaypath_nvme::admin::{ana, log, Do, Group, Kind, Notice, Record, View};
 use quaypath_nvme::association::Associations;
 use quaypath_nvme::command::{opcode, Cqe, Sqe};
 use quaypath_nvme::controller::{Controller, Event};
 use quaypath_nvme::status;
-use quaypath_record::{Event as Line, Listed, Writer};
+use quaypath_record::{Event as Line, ListedCondition, Writer};
 use quaypath_settings::Mode;
 
 use crate::serve::{accept, gateway_of, read_all, Output, Running, Stream};
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 struct Change {
     shows_at: f64,
-    entry: Entry,
+    entry: NodeEntry,
     started_at: f64,
     port: u16,
 }
@@ -73,11 +73,11 @@
     _running: Running,
 }
 
-fn listed(condition: Condition) -> Listed {
+fn listed(condition: Condition) -> ListedCondition {
     match condition {
-        Condition::Ready => Listed::Ready,
-        Condition::Draining => Listed::Draining,
-        Condition::Gone => Listed::Gone,
+        Condition::Ready => ListedCondition::Ready,
+        Condition::Draining => ListedCondition::Draining,
+        Condition::Gone => ListedCondition::Removed,
     }
 }
 
@@ -131,10 +131,10 @@
             (None, Some(known)) => known,
             (None, None) => (0.0, 0, None),
         };
-        let entry = Entry { node: node.clone(), zone, block, condition, age, start };
+        let entry = NodeEntry { node: node.clone(), zone, block, condition, age, start };
         let at = book.changes.partition_point(|change| change.shows_at <= shows_at);
         book.changes.insert(at, Change { shows_at, entry, started_at, port });
-        self.record.put(Line::Lists { t: shows_at, node, condition: listed(condition) });
+        self.record.put(Line::ListChanged { t: shows_at, node, condition: listed(condition) });
     }
 
     pub fn fails(&self, fails: bool) {
@@ -210,7 +210,7 @@
         Kind::Discovery
     }
     fn subsystem(&self) -> &str {
-        quaypath_initiator::register::DISCOVERY
+        quaypath_initiator::register::DISCOVERY_NQN
     }
     fn groups(&self) -> Vec<Group> {
         let state = |change: &Change| match change.entry.condition {
@@ -310,14 +310,14 @@
         let gateway = connection.gateway;
         let before = std::mem::take(&mut connection.told);
         let tell = |node: &str, condition, listed_at| {
-            self.record.put(Line::Told { t, gateway, node: node.into(), condition, listed_at });
+            self.record.put(Line::ListEntrySent { t, gateway, node: node.into(), condition, listed_at });
         };
         for change in &face.shown {
             tell(&change.entry.node, listed(change.entry.condition), change.shows_at);
             connection.told.insert(change.entry.node.clone());
         }
         for node in before.difference(&connection.told) {
-            tell(node, Listed::Gone, t);
+            tell(node, ListedCondition::Removed, t);
         }
     }
 
