--- a/crates/day/src/told.rs
+++ b/crates/day/src/told.rs
@@ -18,9 +18,12 @@
         window: talk.window,
         done_within: DONE_WITHIN * talk.probe_every,
         done_at_worst: 2.0 * DONE_WITHIN * talk.probe_every,
-        settle_time: quaypath_fleet::figures::settles(talk.period, talk.member.len()),
-        max_bytes_per_second: quaypath_fleet::figures::most_bytes(talk.period, usize::from(talk.helpers)),
-        longest_datagram: quaypath_fleet::message::LONGEST as u64,
+        settle_time: quaypath_fleet::config::convergence_time(talk.period, talk.member.len()),
+        max_bytes_per_second: quaypath_fleet::config::max_bytes_per_second(
+            talk.period,
+            usize::from(talk.helpers),
+        ),
+        longest_datagram: quaypath_fleet::message::MAX_DATAGRAM_BYTES as u64,
         transit,
     })
 }
