--- a/crates/programs/src/bin/check.rs
+++ b/crates/programs/src/bin/check.rs
@@ -5,7 +5,7 @@
 
 use clap::{Parser, ValueEnum};
 use quaypath_day::report;
-use quaypath_programs::{exit, say};
+use quaypath_programs::{exit_code, print_line};
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Form {
@@ -38,12 +38,12 @@
     let report = report::of_files(&deployment, arguments.transit, &arguments.records)
         .map_err(|error| error.to_string())?;
     match arguments.format {
-        Form::Table => say!("{}\n{}", report.table(), report.verdict()),
-        Form::Json => say!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?),
+        Form::Table => print_line!("{}\n{}", report.table(), report.verdict()),
+        Form::Json => print_line!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?),
     }
     Ok(report.kept())
 }
 
 fn main() -> ExitCode {
-    exit("quaypath-check", check(Arguments::parse()))
+    exit_code("quaypath-check", check(Arguments::parse()))
 }
--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use quaypath_day::{plan, report, run};
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::Clock;
 use quaypath_settings::{migrate, Day, Fault, FaultKind};
 
@@ -147,24 +147,27 @@
         .map_err(|error| error.to_string())?;
     match arguments.format {
         Form::Table => {
-            say!("{}", report.table());
-            say!("{} first tries found no gateway", tally.unreachable);
-            say!("{}", held(memory, day.lasts));
-            report.told.iter().for_each(|told| say!("{}", told.line()));
-            say!("{}", report.shares.line());
+            print_line!("{}", report.table());
+            print_line!("{} first tries found no gateway", tally.unreachable);
+            print_line!("{}", held(memory, day.lasts));
+            report.told.iter().for_each(|told| print_line!("{}", told.line()));
+            print_line!("{}", report.shares.line());
             if !left.struck.is_empty() {
                 let struck = left.struck.iter().map(|(kind, times)| format!("{kind} {times}"));
-                say!("faults of links struck: {}", struck.collect::<Vec<_>>().join(", "));
+                print_line!("faults of links struck: {}", struck.collect::<Vec<_>>().join(", "));
             }
             if books.len() < day.fleet.gateways as usize {
-                say!("{} gateways gave no counts at the end", day.fleet.gateways as usize - books.len());
+                print_line!(
+                    "{} gateways gave no counts at the end",
+                    day.fleet.gateways as usize - books.len()
+                );
             }
-            say!("{}", report.verdict());
+            print_line!("{}", report.verdict());
         }
         Form::Json => {
             let whole = serde_json::json!({ "report": report, "books": books, "memory": memory,
                 "unreachable": tally.unreachable, "struck": left.struck, "processor": left.processor });
-            say!("{whole}");
+            print_line!("{whole}");
         }
     }
     if keep || !report.kept() {
@@ -204,7 +207,12 @@
         transactions += report.all.taken;
         let kinds: Vec<String> = storm.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
         let hung = if tally.done { "" } else { ", HUNG" };
-        say!("seed {seed}: {} taken, {}{hung}  [{}]", report.all.taken, report.verdict(), kinds.join(" "));
+        print_line!(
+            "seed {seed}: {} taken, {}{hung}  [{}]",
+            report.all.taken,
+            report.verdict(),
+            kinds.join(" ")
+        );
         if report.kept() && tally.done {
             let _ = std::fs::remove_dir_all(&folder);
         } else {
@@ -213,7 +221,7 @@
         }
     }
     let count = arguments.seeds;
-    say!("{count} seeds, {transactions} transactions, {} broken or hung: {broken:?}", broken.len());
+    print_line!("{count} seeds, {transactions} transactions, {} broken or hung: {broken:?}", broken.len());
     Ok(broken.is_empty())
 }
 
@@ -284,8 +292,8 @@
     let mut held: Vec<u64> = left.memory.values().filter_map(|samples| Some(samples.last()?.1)).collect();
     held.sort_unstable();
     let held = held.get(held.len() / 2).copied().unwrap_or(0);
-    say!("{}", told.line());
-    say!("a process: {used:.2}% of a core, {held} KiB; {}", report.verdict());
+    print_line!("{}", told.line());
+    print_line!("a process: {used:.2}% of a core, {held} KiB; {}", report.verdict());
     if arguments.folder.is_none() {
         let _ = std::fs::remove_dir_all(&own);
     }
@@ -311,8 +319,8 @@
         closed.store(true, Ordering::Relaxed);
     });
     let ready = |addresses: &[(u32, SocketAddr)]| {
-        addresses.iter().for_each(|(number, address)| say!("gateway {number} {address}"));
-        say!("ready");
+        addresses.iter().for_each(|(number, address)| print_line!("gateway {number} {address}"));
+        print_line!("ready");
     };
     let begins = || *begins.lock().unwrap();
     run::fleet(&day, &deployment, &options, ready, begins, || over.load(Ordering::Relaxed))
@@ -322,7 +330,7 @@
         let mut paths = vec![run::record_path(&folder)];
         paths.extend(arguments.judge.iter().cloned());
         let report = report::of_files(&deployment, day.transit, &paths).map_err(|error| error.to_string())?;
-        say!("{}", report.verdict());
+        print_line!("{}", report.verdict());
         kept = report.kept();
     }
     if arguments.folder.is_none() && kept {
@@ -334,9 +342,9 @@
 fn show(path: &Path) -> Result<bool, String> {
     let (day, deployment) = quaypath_settings::day(path).map_err(|error| error.to_string())?;
     let asks = plan::traffic(&day, &deployment);
-    say!("{}: {} s, {} first tries", day.name, day.lasts, asks.len());
+    print_line!("{}: {} s, {} first tries", day.name, day.lasts, asks.len());
     for (at, act) in plan::script(&day, &deployment) {
-        say!("{at:8.2} s  {act:?}");
+        print_line!("{at:8.2} s  {act:?}");
     }
     Ok(true)
 }
@@ -351,5 +359,5 @@
         Act::Members(arguments) => members(&arguments),
         Act::Show { day } => show(&day),
     };
-    exit("quaypath-day", done)
+    exit_code("quaypath-day", done)
 }
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -18,7 +18,7 @@
 use quaypath_initiator::fleet::{self, SignalControl, SkewedClock};
 use quaypath_initiator::{core, run, Options};
 use quaypath_platform::Config;
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{background, Clock};
 use quaypath_settings::{Deployment, Signalled, Talk};
 
@@ -264,10 +264,10 @@
         core_factory: if arguments.careless { core::baseline } else { core::scheduler },
         fleet,
     };
-    say!("listening {address}");
+    print_line!("listening {address}");
     if let Some(fleet) = &options.fleet {
         let address = fleet.socket.local_addr().map_err(|error| error.to_string())?;
-        say!("fleet {address}");
+        print_line!("fleet {address}");
     }
     let _ = std::io::stdout().flush();
     let until = arguments.until_stdin_closes;
@@ -294,7 +294,7 @@
     let stop = stop.or(term);
     let counts = run(&options, listener, stop).map_err(|error| error.to_string())?;
     if until {
-        say!("{}", serde_json::to_string(&counts).map_err(|error| error.to_string())?);
+        print_line!("{}", serde_json::to_string(&counts).map_err(|error| error.to_string())?);
     }
     Ok(true)
 }
@@ -306,7 +306,7 @@
         arguments.logs.start();
         None
     } else {
-        Some(arguments.logs.start_apart())
+        Some(arguments.logs.start_in_background())
     };
-    exit("quaypath-gateway", start(arguments))
+    exit_code("quaypath-gateway", start(arguments))
 }
--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -20,7 +20,7 @@
 use quaypath_load::run::{hello, meta, run, share, stream, Fleet, Place, Run};
 use quaypath_load::schedule::{check, peak, Peers, Source};
 use quaypath_load::{chart, report};
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{Clock, Writer};
 use quaypath_settings::Loaded;
 
@@ -186,7 +186,7 @@
         drop(stdin);
         let mut line = String::new();
         while lines.read_line(&mut line).unwrap_or(0) > 0 {
-            say!("fleet: {}", line.trim_end());
+            print_line!("fleet: {}", line.trim_end());
             line.clear();
         }
         let status = child.wait().map_err(|error| error.to_string())?;
@@ -295,7 +295,7 @@
 }
 
 fn told(rows: &Rows) {
-    say!(
+    print_line!(
         "rows of the record: {} taken, {} outside the window, {} put in order, {} too late for it, {} unknown, {} \
          remapped",
         rows.taken, rows.outside, rows.reordered, rows.late, rows.unknown, rows.remapped
@@ -390,9 +390,9 @@
         std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
         outcome.write(&folder.join("result.parquet"))?;
         chart::draw(&outcome, folder)?;
-        say!("result and charts: {}", folder.display());
+        print_line!("result and charts: {}", folder.display());
     }
-    say!("{}", report::tables(&outcome)?);
+    print_line!("{}", report::tables(&outcome)?);
     Ok(kept && outcome.meta.missing.is_empty())
 }
 
@@ -417,10 +417,10 @@
 
 fn report_on(path: &Path, charts: Option<&Path>) -> Result<bool, String> {
     let outcome = Outcome::read(path)?;
-    say!("{}", report::tables(&outcome)?);
+    print_line!("{}", report::tables(&outcome)?);
     if let Some(folder) = charts {
         for path in chart::draw(&outcome, folder)? {
-            say!("{}", path.display());
+            print_line!("{}", path.display());
         }
     }
     Ok(true)
@@ -468,7 +468,7 @@
         nth += 1;
         let (found, outcome) = trial(arguments, &mut loaded, band, &fleet, rate, nth)?;
         let all = outcome.cell(Key::new(Kind::All, 0))?;
-        say!(
+        print_line!(
             "{rate:.0} a second: {found:?} of {} in time; all bands {:.4}, p99 of all {} ms",
             arguments.band,
             all.counts.goodput(),
@@ -481,28 +481,30 @@
     let bar = format!("{} of {} in time", arguments.part, arguments.band);
     let noisy = search.steps.iter().filter(|step| step.noisy).count();
     if noisy > 0 {
-        say!("at {noisy} rates the repeats' intervals hold the bar: told by their means");
+        print_line!("at {noisy} rates the repeats' intervals hold the bar: told by their means");
     }
     let found = match search.state() {
         State::Ended(End::Between(low, high)) => {
-            say!("knee: {bar} holds at {low:.0} a second and not at {high:.0}");
+            print_line!("knee: {bar} holds at {low:.0} a second and not at {high:.0}");
             true
         }
         State::Ended(End::Above(rate)) => {
-            say!("no knee: {bar} still holds at {rate:.0} a second, the highest tried");
+            print_line!("no knee: {bar} still holds at {rate:.0} a second, the highest tried");
             true
         }
         State::Ended(End::Below(rate)) => {
-            say!("no knee: {bar} does not hold even at {rate:.1} a second");
+            print_line!("no knee: {bar} does not hold even at {rate:.1} a second");
             false
         }
         State::Ended(End::Generator { at, held, why }) => {
             let held = held.map_or("at no rate before".into(), |held| format!("at {held:.0}"));
-            say!("no knee: the generator was the limit at {at:.0} a second ({why}); {bar} held {held}");
+            print_line!(
+                "no knee: the generator was the limit at {at:.0} a second ({why}); {bar} held {held}"
+            );
             false
         }
         State::Ended(End::Nothing) => {
-            say!("no knee: no operation of band {} was offered", arguments.band);
+            print_line!("no knee: no operation of band {} was offered", arguments.band);
             false
         }
         State::Doubling | State::Halving => false,
@@ -519,7 +521,7 @@
     let mut last = 0.0;
     while let Some(arrival) = source.next()? {
         if count < first {
-            say!(
+            print_line!(
                 "{:10.4} s  gateway {:3}  volume {:5}  {}  {} units",
                 arrival.at,
                 arrival.peer,
@@ -532,12 +534,12 @@
         bands[arrival.band] += 1;
         last = arrival.at;
     }
-    say!("{count} arrivals, the last at {last:.3} s");
+    print_line!("{count} arrivals, the last at {last:.3} s");
     for (name, count) in loaded.deployment.band_names.iter().zip(bands) {
-        say!("  {name}: {count}");
+        print_line!("  {name}: {count}");
     }
     if loaded.load.open.is_some() {
-        say!("at most {:.0} a second on average at any time", peak(&loaded.load, &loaded.deployment)?);
+        print_line!("at most {:.0} a second on average at any time", peak(&loaded.load, &loaded.deployment)?);
     }
     Ok(true)
 }
@@ -551,11 +553,11 @@
         Act::Report { result, charts } => report_on(result, charts.as_deref()),
         Act::Compare { first, second } => Outcome::read(first).and_then(|first| {
             let text = report::compared(&first, &Outcome::read(second)?)?;
-            say!("{text}");
+            print_line!("{text}");
             Ok(true)
         }),
         Act::Knee(knee_of) => knee(knee_of),
         Act::Show { load, first } => show(load, *first),
     };
-    exit("quaypath-load", done)
+    exit_code("quaypath-load", done)
 }
--- a/crates/programs/src/bin/migrate.rs
+++ b/crates/programs/src/bin/migrate.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use quaypath_programs::{exit, say};
+use quaypath_programs::{exit_code, print_line};
 use quaypath_settings::migrate::{migrate, write};
 
 /// Carries a deployment file over to another shape and tells what it could not carry over and what it filled in.
@@ -41,15 +41,15 @@
     if !dry_run {
         write(&migration.text, &[&old, &to], &output, force).map_err(|error| error.to_string())?;
     }
-    migration.notes.iter().for_each(|note| say!("{note}"));
+    migration.notes.iter().for_each(|note| print_line!("{note}"));
     if migration.same() {
-        say!("{}: already of this shape, unchanged in meaning", old.display());
+        print_line!("{}: already of this shape, unchanged in meaning", old.display());
     }
     let done = if dry_run { "would write" } else { "written" };
-    say!("{done}: {}", output.display());
+    print_line!("{done}: {}", output.display());
     Ok(migration.whole())
 }
 
 fn main() -> ExitCode {
-    exit("quaypath-migrate", run(Arguments::parse()))
+    exit_code("quaypath-migrate", run(Arguments::parse()))
 }
--- a/crates/programs/src/bin/nvme.rs
+++ b/crates/programs/src/bin/nvme.rs
@@ -18,7 +18,7 @@
 use quaypath_nvme::host::Offer;
 use quaypath_nvme::pdu::{Decoder, Format, Pdu};
 use quaypath_nvme::{admin, status, BLOCK_SIZE, MAX_DATA};
-use quaypath_programs::{exit, say};
+use quaypath_programs::{exit_code, print_line};
 
 /// Talks NVMe/TCP to one gateway, target or register.
 #[derive(Parser)]
@@ -207,7 +207,7 @@
     let states = client.ask("access states", &mut queue, get_log(log::ANA, 0, 16 + 32 * count.max(1), true));
     let groups =
         states.ok().and_then(|(_, data)| access_groups(&data)).map_or(Vec::new(), |(_, groups)| groups);
-    say!("generation {generation}, {count} records");
+    print_line!("generation {generation}, {count} records");
     for record in (0..count).filter_map(|at| discovery_record(&whole, at)) {
         let state =
             groups.iter().find(|(id, ..)| *id == u32::from(record.port) + 1).map(|(_, state, _)| *state);
@@ -218,7 +218,7 @@
             None => "unknown",
         };
         let age = record.age.map_or("long ago".into(), |age| format!("{age:.1} s ago"));
-        say!(
+        print_line!(
             "port {:3}  {}:{}  {state}  block {}  zone {}  started {age}  {}",
             record.port,
             record.address,
@@ -233,30 +233,30 @@
 
 fn connect(client: &Client) -> Result<bool, String> {
     let (mut queue, enable) = client.admin("nqn.2026-12.example.quaypath:gateway", 8)?;
-    say!("connected: controller {}, ready, {} I/O queues", enable.controller, enable.queues);
+    print_line!("connected: controller {}, ready, {} I/O queues", enable.controller, enable.queues);
     for (name, at) in
         [("CAP", property::CAP), ("VS", property::VS), ("CC", property::CC), ("CSTS", property::CSTS)]
     {
         let (cqe, _) = client.ask(name, &mut queue, property_get(at))?;
-        say!("{name}: {:#x}", u64::from(cqe.dw0) | u64::from(cqe.dw1) << 32);
+        print_line!("{name}: {:#x}", u64::from(cqe.dw0) | u64::from(cqe.dw1) << 32);
     }
     client.ask("shutdown", &mut queue, property_set(property::CC, CC_SHUT_DOWN))?;
     let (cqe, _) = client.ask("CSTS", &mut queue, property_get(property::CSTS))?;
-    say!("shut down: CSTS {:#x}", cqe.dw0);
+    print_line!("shut down: CSTS {:#x}", cqe.dw0);
     Ok(true)
 }
 
 fn identify_all(client: &Client, one: Option<u32>) -> Result<bool, String> {
     let (mut queue, enable) = client.admin("nqn.2026-12.example.quaypath:gateway", 1)?;
     let identity = enable.identity.ok_or("no identity")?;
-    say!(
+    print_line!(
         "subsystem {}  controller {}  model {} {}",
         identity.subsystem,
         identity.controller,
         identity.model,
         identity.firmware
     );
-    say!(
+    print_line!(
         "longest transfer {} KiB  in capsule {} bytes  most commands {}  retry delays {:?} s",
         identity.longest / 1024,
         identity.in_capsule,
@@ -277,7 +277,7 @@
     for nsid in ids {
         let (_, data) = client.ask(&format!("namespace {nsid}"), &mut queue, identify(0, nsid))?;
         let (blocks, size) = namespace_size(&data).ok_or("a namespace with a format of another kind")?;
-        say!("namespace {nsid}: {blocks} blocks of {size} bytes");
+        print_line!("namespace {nsid}: {blocks} blocks of {size} bytes");
     }
     Ok(true)
 }
@@ -306,7 +306,7 @@
         match decoder.next_pdu() {
             Ok(Some(pdu)) => {
                 let length = pending - decoder.pending();
-                say!("{at:8}  {length:6} bytes  {}", text(&pdu));
+                print_line!("{at:8}  {length:6} bytes  {}", text(&pdu));
                 if let Pdu::IcResp { digest, .. } = pdu {
                     decoder.agree(Format::of(digest, 0));
                 }
@@ -392,7 +392,7 @@
             let sqe = transfer(range, opcode::COMPARE, (data.len() / BLOCK_SIZE) as u32);
             match client(range.address).io("compare", sqe, data, 0) {
                 Err(error) if error.contains(&format!("{:#x} ", status::COMPARE_FAILURE)) => {
-                    say!("they differ");
+                    print_line!("they differ");
                     Ok(false)
                 }
                 done => done.map(|_| true),
@@ -407,5 +407,5 @@
 }
 
 fn main() -> ExitCode {
-    exit("quaypath-nvme", run(&Arguments::parse()))
+    exit_code("quaypath-nvme", run(&Arguments::parse()))
 }
--- a/crates/programs/src/bin/register.rs
+++ b/crates/programs/src/bin/register.rs
@@ -7,7 +7,7 @@
 
 use clap::{Parser, ValueEnum};
 use quaypath::types::Condition;
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{Clock, Writer};
 use quaypath_settings::Mode;
 use quaypath_standins::register::Register;
@@ -83,7 +83,7 @@
         ModeName::Asked => Mode::Asked,
     };
     let register = Register::start(mode, listener, record.clone()).map_err(|error| error.to_string())?;
-    say!("listening {}", register.address);
+    print_line!("listening {}", register.address);
     for (at, line) in std::io::stdin().lock().lines().enumerate() {
         let line = line.map_err(|error| error.to_string())?;
         // One bad line loses nothing of the others.
@@ -100,6 +100,6 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let _logs = arguments.logs.start_apart();
-    exit("quaypath-register", start(arguments))
+    let _logs = arguments.logs.start_in_background();
+    exit_code("quaypath-register", start(arguments))
 }
--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use clap::Parser;
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{Clock, Writer};
 
 use quaypath_standins::model::Figures;
@@ -100,7 +100,7 @@
     };
     let listener =
         TcpListener::bind(arguments.listen).map_err(|error| format!("{}: {error}", arguments.listen))?;
-    say!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
+    print_line!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
     let (block, core) = (arguments.block, &deployment.core);
     let zone = zone_of(block, deployment.zones);
     let bands = deployment.book.bands.iter().map(|band| BandRule::of(band, &zone, block));
@@ -150,6 +150,6 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let _logs = arguments.logs.start_apart();
-    exit("quaypath-target", start(arguments))
+    let _logs = arguments.logs.start_in_background();
+    exit_code("quaypath-target", start(arguments))
 }
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs share: logs and exit codes.
+//! Log options, output and exit codes that the programs share.
 
 use std::fmt::Display;
 use std::io::IsTerminal;
@@ -13,38 +13,41 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-pub enum LogForm {
+pub enum LogFormat {
     Text,
     Json,
 }
 
-/// Logs go to standard error.
+/// Options of the log, which goes to standard error.
 #[derive(Clone, Debug, Args)]
 pub struct Logs {
-    /// Form of the log on standard error
+    /// Format of the log on standard error
     #[arg(long, value_enum, default_value = "text")]
-    pub log: LogForm,
-    /// More of it; twice for all
+    pub log: LogFormat,
+    /// Log debug messages too; given twice, trace messages as well
     #[arg(short, long, action = clap::ArgAction::Count)]
     pub verbose: u8,
 }
 
-/// Log lines that wait for the disk at most; beyond them lines are dropped, and the log tells how many.
-const MOST_LINES: usize = 8192;
+/// Maximum number of log lines that wait to be written. Further lines are dropped, and the log reports how many.
+const MAX_QUEUED_LINES: usize = 8192;
 
-/// Standard error as the log's own thread writes it: tells of lines that were dropped where they are missing.
-struct Told {
+/// Standard error as the log's background thread writes it. When lines have been dropped, it writes a line with their
+/// number in their place.
+struct DropReporter {
     dropped: Arc<OnceLock<ErrorCounter>>,
-    told: usize,
+    /// Number of dropped lines that the log has reported.
+    reported: usize,
 }
 
-impl Write for Told {
+impl Write for DropReporter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
         let mut out = StallableWriter(std::io::stderr());
-        if dropped > self.told {
-            self.told = dropped;
+        if dropped > self.reported {
+            self.reported = dropped;
             writeln!(
                 out,
                 "{{\"level\":\"WARN\",\"message\":\"log lines dropped so far\",\"dropped\":{dropped}}}"
@@ -60,18 +63,19 @@
 }
 
 impl Logs {
-    /// Logs straight to standard error: for programs that serve nobody, and on the platform.
+    /// Logs directly to standard error, which may block the caller: for programs that serve no requests, and on the
+    /// platform.
     pub fn start(&self) {
         self.start_on(std::io::stderr);
     }
 
-    /// Logs by a thread of its own, so that nothing that serves waits for where the log goes. The guard writes what is
-    /// left when it goes.
-    pub fn start_apart(&self) -> WorkerGuard {
+    /// Logs from a background thread, so that no thread that serves requests waits for standard error. Dropping the
+    /// guard writes the lines that still wait.
+    pub fn start_in_background(&self) -> WorkerGuard {
         let dropped = Arc::<OnceLock<ErrorCounter>>::default();
-        let told = Told { dropped: dropped.clone(), told: 0 };
-        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MOST_LINES);
-        let (writer, guard) = builder.finish(told);
+        let reporter = DropReporter { dropped: dropped.clone(), reported: 0 };
+        let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
+        let (writer, guard) = queue.finish(reporter);
         let _ = dropped.set(writer.error_counter());
         self.start_on(writer);
         guard
@@ -83,31 +87,32 @@
             1 => LevelFilter::DEBUG,
             _ => LevelFilter::TRACE,
         };
-        // No colours in a log that is kept in a file.
-        let form = tracing_subscriber::fmt()
+        // Colours are left out unless standard error is a terminal, as the log may go to a file.
+        let builder = tracing_subscriber::fmt()
             .with_writer(writer)
             .with_ansi(std::io::stderr().is_terminal())
             .with_max_level(level);
         match self.log {
-            LogForm::Text => form.init(),
-            LogForm::Json => form.json().flatten_event(true).init(),
+            LogFormat::Text => builder.init(),
+            LogFormat::Json => builder.json().flatten_event(true).init(),
         }
     }
 }
 
-/// A line on standard output. Guards against a reader that closed it, as `head` does: what a program was asked to do
-/// goes on, and only its words are lost.
+/// Writes a line to standard output and ignores errors: if the reader has closed it, as `head` does, the program
+/// continues its task and only the output is lost.
 #[macro_export]
-macro_rules! say {
-    ($($word:tt)*) => {{
+macro_rules! print_line {
+    ($($argument:tt)*) => {{
         use std::io::Write as _;
-        let _ = writeln!(std::io::stdout(), $($word)*);
+        let _ = writeln!(std::io::stdout(), $($argument)*);
     }};
 }
 
-/// 0: done. 1: a finding. 2: wrong usage or input, with one message.
-pub fn exit<E: Display>(program: &str, done: Result<bool, E>) -> ExitCode {
-    match done {
+/// Exit code of a program: 0 for success, 1 for a finding (`Ok(false)`), 2 for wrong usage or input, which is reported
+/// in one line on standard error.
+pub fn exit_code<E: Display>(program: &str, result: Result<bool, E>) -> ExitCode {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
