--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -1,4 +1,4 @@
-//! `quaypath-day`: runs a day of traffic and troubles on loopback, and judges it.
+//! `quaypath-day`: runs a test day of traffic and faults on loopback, and judges its record.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,33 +12,34 @@
 use quaypath_record::Clock;
 use quaypath_settings::{migrate, Day, Fault, FaultKind};
 
+/// Format of the report.
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum Format {
     Table,
     Json,
 }
 
-/// Runs a day written in XML: gateways as processes, stand-ins for all else, troubles by time.
+/// Runs a test day written in XML: gateways as processes, stand-ins for everything else, and faults at set times.
 #[derive(Parser)]
 #[command(version, after_help = "Example:\n  quaypath-day run days/bad-day.xml")]
 struct Arguments {
     #[command(subcommand)]
-    act: Act,
+    action: Action,
     #[command(flatten)]
     logs: Logs,
 }
 
 #[derive(Subcommand)]
-enum Act {
-    /// Runs the day and judges it; exits 1 where a rule is broken
+enum Action {
+    /// Runs the day and judges it; exits with 1 if a rule is broken
     Run(Run),
-    /// Runs short days with troubles drawn by seed, one after the other; exits 1 where a rule is broken
+    /// Runs short days with faults drawn at random by seed, one after the other; exits with 1 if a rule is broken
     Storm(Storm),
-    /// Keeps the day's fleet up for other programs to load; ends when standard input does
+    /// Runs the day's fleet for other programs to load, until standard input ends
     Fleet(Fleet),
-    /// Measures a fleet of members that talk, at another size and with its own faults; prints one line, or a row
+    /// Measures a fleet of gateways that communicate, at a given size and with given faults; prints the result
     Members(Members),
-    /// Prints what the day will bring, without running it
+    /// Prints the traffic and faults of the day without running it
     Show {
         /// The day, XML by quaypath.xsd
         day: PathBuf,
@@ -47,58 +48,58 @@
 
 #[derive(Args)]
 struct Storm {
-    /// The day whose fleet and traffic are taken, XML by quaypath.xsd
+    /// The day whose fleet and traffic are used, XML by quaypath.xsd
     day: PathBuf,
     /// First seed
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Seeds to run
+    /// Number of seeds to run
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Seconds of each
+    /// Duration of each day, seconds
     #[arg(long, default_value_t = 5.0)]
     lasts: f64,
 }
 
-/// Prints `gateway NUMBER ADDRESS` for each gateway, then `ready`. The day's troubles begin with a line `begin` on
-/// standard input, or at a time of the clock with `begin SECONDS`, counted from the epoch.
+/// Prints `gateway NUMBER ADDRESS` for each gateway, then `ready`. The day's faults begin with a line `begin` on
+/// standard input, or with `begin SECONDS` at that time of the clock, in seconds since the epoch.
 #[derive(Args)]
 struct Fleet {
-    /// The day whose fleet and troubles are taken, XML by quaypath.xsd
+    /// The day whose fleet and faults are used, XML by quaypath.xsd
     day: PathBuf,
-    /// Where record, lists and logs go; a new folder under the system's temporary one where absent
+    /// Folder for record, node lists and logs; a new one in the system's temporary folder by default
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// Judge the record of the fleet together with these at the end; exits 1 where a rule is broken
+    /// Record to judge together with that of the fleet at the end; exits with 1 if a rule is broken
     #[arg(long)]
     judge: Vec<PathBuf>,
 }
 
-/// Kills, stops and loss at a size of choice, without the day's own troubles: time to detect, false alarms, traffic,
-/// processor time and memory, as links and the system saw them.
+/// Runs kills, stops and loss without the day's own faults, and reports time to detect, false alarms, traffic, processor
+/// time and memory as observed by the links and the system.
 #[derive(Args)]
 struct Members {
-    /// The day whose deployment and nodes are taken, XML by quaypath.xsd
+    /// The day whose deployment and nodes are used, XML by quaypath.xsd
     day: PathBuf,
-    /// Processes
+    /// Number of gateway processes, 2 to 1024
     #[arg(long, default_value_t = 8)]
     count: u16,
-    /// Part of the datagrams that is lost
+    /// Part of the datagrams that is lost, 0 to 0.9
     #[arg(long, default_value_t = 0.0)]
     lose: f64,
-    /// Seconds that a tenth of the processes stands still, twice
+    /// Seconds for which a tenth of the processes is stopped, twice; 0 to 10
     #[arg(long, default_value_t = 0.0)]
     stops: f64,
-    /// Processes that are killed, one after the other
+    /// Number of processes that are killed, one after the other
     #[arg(long, default_value_t = 3)]
     kills: u32,
-    /// Seconds
+    /// Duration, 20 to 600 seconds
     #[arg(long, default_value_t = 40.0)]
     lasts: f64,
-    /// Heartbeats of each to all, and everyone probes everything, to compare with
+    /// Run the baseline for comparison: each member sends heartbeats to all others, and all members probe all nodes
     #[arg(long)]
     careless: bool,
-    /// Where record, lists and logs go; a new folder under the system's temporary one where absent
+    /// Folder for record, node lists and logs; a new one in the system's temporary folder by default
     #[arg(long)]
     folder: Option<PathBuf>,
 }
@@ -107,28 +108,29 @@
 struct Run {
     /// The day, XML by quaypath.xsd
     day: PathBuf,
-    /// Run the careless baseline in the gateways, to see the rules broken
+    /// Run the baseline that keeps no rule in the gateways, to check that the judge finds the breaches
     #[arg(long)]
     careless: bool,
-    /// What gateways tell and lend each other, in place of the settings': none, news, parts or all
+    /// What gateways report and lend to each other, in place of the settings': none, news, parts or all
     #[arg(long)]
     signals: Option<String>,
-    /// Take a safeguard of signals and lending away in all gateways, to see what notices
+    /// Disable a safeguard of signals and lending in all gateways, to check that the tests notice
     #[arg(long)]
     without: Option<String>,
-    /// Where record, lists and logs go; a new folder under the system's temporary one where absent
+    /// Folder for record, node lists and logs; a new one in the system's temporary folder by default
     #[arg(long)]
     folder: Option<PathBuf>,
+    /// Format of the report
     #[arg(long, value_enum, default_value = "table")]
-    format: Form,
+    format: Format,
 }
 
-/// What a day is run with; the gateway's program stands beside this one.
+/// Options of a run; the gateway program is expected in the folder of this program.
 fn options(path: &Path, day: &Day, folder: &Path, careless: bool) -> Result<run::Options, String> {
-    let beside = std::env::current_exe().map_err(|error| error.to_string())?;
-    let gateway = beside.with_file_name("quaypath-gateway");
+    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
+    let gateway = own_path.with_file_name("quaypath-gateway");
     if !gateway.exists() {
-        return Err(format!("{}: not there; build the whole workspace", gateway.display()));
+        return Err(format!("{}: gateway program not found; build the whole workspace", gateway.display()));
     }
     let deployment = path.parent().unwrap_or(Path::new("")).join(&day.deployment);
     Ok(run::Options { gateway, deployment, folder: folder.into(), careless, signals: None, without: None })
@@ -136,41 +138,42 @@
 
 fn run_day(arguments: Run) -> Result<bool, String> {
     let (day, deployment) = quaypath_settings::day(&arguments.day).map_err(|error| error.to_string())?;
-    let own = std::env::temp_dir().join(format!("quaypath-day-{}", std::process::id()));
-    let keep = arguments.folder.is_some();
-    let folder = arguments.folder.unwrap_or(own);
+    let default_folder = std::env::temp_dir().join(format!("quaypath-day-{}", std::process::id()));
+    let folder_given = arguments.folder.is_some();
+    let folder = arguments.folder.unwrap_or(default_folder);
     let options = options(&arguments.day, &day, &folder, arguments.careless)?;
     let options = run::Options { signals: arguments.signals, without: arguments.without, ..options };
-    let left = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
-    let (books, memory, tally) = (&left.books, &left.memory, &left.tally);
+    let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
+    let (gateway_counts, memory, clients) = (&outcome.books, &outcome.memory, &outcome.tally);
     let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
         .map_err(|error| error.to_string())?;
     match arguments.format {
-        Form::Table => {
+        Format::Table => {
             print_line!("{}", report.table());
-            print_line!("{} first tries found no gateway", tally.unreachable);
-            print_line!("{}", held(memory, day.lasts));
-            report.told.iter().for_each(|told| print_line!("{}", told.line()));
+            print_line!("{} first tries found no gateway", clients.unreachable);
+            print_line!("{}", memory_line(memory, day.lasts));
+            report.told.iter().for_each(|fleet_report| print_line!("{}", fleet_report.line()));
             print_line!("{}", report.shares.line());
-            if !left.struck.is_empty() {
-                let struck = left.struck.iter().map(|(kind, times)| format!("{kind} {times}"));
-                print_line!("faults of links struck: {}", struck.collect::<Vec<_>>().join(", "));
+            if !outcome.struck.is_empty() {
+                let fault_counts =
+                    outcome.struck.iter().map(|(kind, occurrences)| format!("{kind} {occurrences}"));
+                print_line!("faults of links struck: {}", fault_counts.collect::<Vec<_>>().join(", "));
             }
-            if books.len() < day.fleet.gateways as usize {
+            if gateway_counts.len() < day.fleet.gateways as usize {
                 print_line!(
                     "{} gateways gave no counts at the end",
-                    day.fleet.gateways as usize - books.len()
+                    day.fleet.gateways as usize - gateway_counts.len()
                 );
             }
             print_line!("{}", report.verdict());
         }
-        Form::Json => {
-            let whole = serde_json::json!({ "report": report, "books": books, "memory": memory,
-                "unreachable": tally.unreachable, "struck": left.struck, "processor": left.processor });
-            print_line!("{whole}");
+        Format::Json => {
+            let output = serde_json::json!({ "report": report, "books": gateway_counts, "memory": memory,
+                "unreachable": clients.unreachable, "struck": outcome.struck, "processor": outcome.processor });
+            print_line!("{output}");
         }
     }
-    if keep || !report.kept() {
+    if folder_given || !report.kept() {
         eprintln!("record and logs: {}", folder.display());
     } else {
         let _ = std::fs::remove_dir_all(&folder);
@@ -178,34 +181,40 @@
     Ok(report.kept())
 }
 
-/// Median and highest memory of a gateway at half of the day and at its end.
-fn held(memory: &run::Memory, lasts: f64) -> String {
-    let at = |from: f64, to: f64| {
+/// A line with the median and maximum memory of the gateways, from the last samples of the first half of the day and
+/// of the second. `duration` is the length of the day in seconds.
+fn memory_line(memory: &run::Memory, duration: f64) -> String {
+    let summary = |from: f64, to: f64| {
         let samples = memory.values().filter_map(|samples| {
-            samples.iter().rev().find(|(at, _)| (from..=to).contains(at)).map(|(_, held)| *held)
+            samples.iter().rev().find(|(t, _)| (from..=to).contains(t)).map(|(_, kib)| *kib)
         });
         let mut all: Vec<u64> = samples.collect();
         all.sort_unstable();
         let median = all.get(all.len() / 2).copied().unwrap_or(0);
         format!("{median} KiB median, {} KiB most", all.last().copied().unwrap_or(0))
     };
-    format!("gateway memory: at half {}; at the end {}", at(0.0, lasts / 2.0), at(lasts / 2.0, f64::INFINITY))
+    format!(
+        "gateway memory: at half {}; at the end {}",
+        summary(0.0, duration / 2.0),
+        summary(duration / 2.0, f64::INFINITY)
+    )
 }
 
 fn storm(arguments: &Storm) -> Result<bool, String> {
     let (day, deployment) = quaypath_settings::day(&arguments.day).map_err(|error| error.to_string())?;
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     let mut transactions = 0;
     for seed in arguments.from..arguments.from.saturating_add(arguments.seeds) {
-        let storm = plan::storm(&day, deployment.fleet.is_some(), seed, arguments.lasts.clamp(1.0, 600.0));
+        let short_day =
+            plan::storm(&day, deployment.fleet.is_some(), seed, arguments.lasts.clamp(1.0, 600.0));
         let folder = std::env::temp_dir().join(format!("quaypath-storm-{}-{seed}", std::process::id()));
         let options = options(&arguments.day, &day, &folder, false)?;
         let run::Left { tally, .. } =
-            run::run(&storm, &deployment, &options).map_err(|error| error.to_string())?;
+            run::run(&short_day, &deployment, &options).map_err(|error| error.to_string())?;
         let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
             .map_err(|error| error.to_string())?;
         transactions += report.all.taken;
-        let kinds: Vec<String> = storm.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
+        let kinds: Vec<String> = short_day.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
         let hung = if tally.done { "" } else { ", HUNG" };
         print_line!(
             "seed {seed}: {} taken, {}{hung}  [{}]",
@@ -217,34 +226,40 @@
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             eprintln!("record and logs: {}", folder.display());
-            broken.push(seed);
+            failed_seeds.push(seed);
         }
     }
     let count = arguments.seeds;
-    print_line!("{count} seeds, {transactions} transactions, {} broken or hung: {broken:?}", broken.len());
-    Ok(broken.is_empty())
+    print_line!(
+        "{count} seeds, {transactions} transactions, {} broken or hung: {failed_seeds:?}",
+        failed_seeds.len()
+    );
+    Ok(failed_seeds.is_empty())
 }
 
 fn members(arguments: &Members) -> Result<bool, String> {
     let (mut day, deployment) = quaypath_settings::day(&arguments.day).map_err(|error| error.to_string())?;
     if deployment.fleet.is_none() || !(2..=1024).contains(&arguments.count) {
-        return Err(format!("--count {}: 2 to 1024, of a day whose initiators talk", arguments.count));
+        return Err(format!(
+            "--count {}: needs 2 to 1024 members and a day whose deployment has a fleet",
+            arguments.count
+        ));
     }
     if !(0.0..=0.9).contains(&arguments.lose) || !(0.0..=10.0).contains(&arguments.stops) {
-        return Err("--lose is 0 to 0.9, --stops 0 to 10 s".into());
+        return Err("--lose must be 0 to 0.9, --stops 0 to 10 s".into());
     }
     if !(20.0..=600.0).contains(&arguments.lasts) || arguments.kills >= u32::from(arguments.count) {
-        return Err("--lasts is 20 to 600 s, --kills leaves one".into());
+        return Err("--lasts must be 20 to 600 s, --kills less than --count".into());
     }
-    let own = std::env::temp_dir().join(format!("quaypath-members-{}", std::process::id()));
-    let folder = arguments.folder.clone().unwrap_or(own.clone());
+    let default_folder = std::env::temp_dir().join(format!("quaypath-members-{}", std::process::id()));
+    let folder = arguments.folder.clone().unwrap_or(default_folder.clone());
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-    let from = arguments.day.parent().unwrap_or(Path::new("")).join(&day.deployment);
-    let text = migrate::crowd(&from, arguments.count).map_err(|error| error.to_string())?;
-    let widened = folder.join("deployment.xml");
-    std::fs::write(&widened, text).map_err(|error| format!("{}: {error}", widened.display()))?;
-    let deployment = quaypath_settings::deployment(&widened).map_err(|error| error.to_string())?;
-    // Little traffic: it is the fleet that is measured.
+    let source = arguments.day.parent().unwrap_or(Path::new("")).join(&day.deployment);
+    let text = migrate::crowd(&source, arguments.count).map_err(|error| error.to_string())?;
+    let resized = folder.join("deployment.xml");
+    std::fs::write(&resized, text).map_err(|error| format!("{}: {error}", resized.display()))?;
+    let deployment = quaypath_settings::deployment(&resized).map_err(|error| error.to_string())?;
+    // Traffic is light, because the communication within the fleet is what is measured.
     (day.lasts, day.traffic.rate, day.fleet.gateways) = (arguments.lasts, 5.0, u32::from(arguments.count));
     (day.fault, day.traffic.surge, day.traffic.leave) = (Vec::new(), Vec::new(), Vec::new());
     let fault = |kind, at: f64, lasts: f64| Fault {
@@ -264,10 +279,10 @@
         let lose = fault(FaultKind::Lose, 0.0, arguments.lasts);
         day.fault.push(Fault { from: ends.clone(), to: ends, size: arguments.lose, ..lose });
     }
-    for nth in 0..arguments.kills {
-        // Spread over the first half, so that each is told of before the end; none comes back.
-        let at = 8.0 + (arguments.lasts / 2.0 - 8.0) * f64::from(nth) / f64::from(arguments.kills);
-        let node = Some(u32::from(arguments.count) - 1 - nth);
+    for index in 0..arguments.kills {
+        // Kills are spread over the first half, so that each is reported before the end; no killed process returns.
+        let at = 8.0 + (arguments.lasts / 2.0 - 8.0) * f64::from(index) / f64::from(arguments.kills);
+        let node = Some(u32::from(arguments.count) - 1 - index);
         day.fault.push(Fault {
             node,
             returns: 2.0 * arguments.lasts,
@@ -282,69 +297,72 @@
         }
     }
     let mut options = options(&arguments.day, &day, &folder, arguments.careless)?;
-    options.deployment = widened;
-    let left = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
+    options.deployment = resized;
+    let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
     let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
         .map_err(|error| error.to_string())?;
-    let told = report.told.clone().unwrap_or_default();
-    let used: f64 = left.processor.values().map(|(used, ran)| used / ran.max(1.0)).sum();
-    let used = 100.0 * used / left.processor.len().max(1) as f64;
-    let mut held: Vec<u64> = left.memory.values().filter_map(|samples| Some(samples.last()?.1)).collect();
-    held.sort_unstable();
-    let held = held.get(held.len() / 2).copied().unwrap_or(0);
-    print_line!("{}", told.line());
-    print_line!("a process: {used:.2}% of a core, {held} KiB; {}", report.verdict());
+    let fleet_report = report.told.clone().unwrap_or_default();
+    let cores: f64 = outcome.processor.values().map(|(used, running)| used / running.max(1.0)).sum();
+    let percent = 100.0 * cores / outcome.processor.len().max(1) as f64;
+    let mut process_memory: Vec<u64> =
+        outcome.memory.values().filter_map(|samples| Some(samples.last()?.1)).collect();
+    process_memory.sort_unstable();
+    let median_memory = process_memory.get(process_memory.len() / 2).copied().unwrap_or(0);
+    print_line!("{}", fleet_report.line());
+    print_line!("a process: {percent:.2}% of a core, {median_memory} KiB; {}", report.verdict());
     if arguments.folder.is_none() {
-        let _ = std::fs::remove_dir_all(&own);
+        let _ = std::fs::remove_dir_all(&default_folder);
     }
     Ok(report.kept())
 }
 
 fn fleet(arguments: &Fleet) -> Result<bool, String> {
     let (day, deployment) = quaypath_settings::day(&arguments.day).map_err(|error| error.to_string())?;
-    let own = std::env::temp_dir().join(format!("quaypath-fleet-{}", std::process::id()));
-    let folder = arguments.folder.clone().unwrap_or(own.clone());
+    let default_folder = std::env::temp_dir().join(format!("quaypath-fleet-{}", std::process::id()));
+    let folder = arguments.folder.clone().unwrap_or(default_folder.clone());
     let options = options(&arguments.day, &day, &folder, false)?;
-    let (begins, over) = (Arc::new(Mutex::new(None)), Arc::new(AtomicBool::new(false)));
-    let (told, closed) = (begins.clone(), over.clone());
+    let (begins_at, input_ended) = (Arc::new(Mutex::new(None)), Arc::new(AtomicBool::new(false)));
+    let (received, ended) = (begins_at.clone(), input_ended.clone());
     std::thread::spawn(move || {
         for line in std::io::stdin().lines().map_while(Result::ok) {
             match line.split_whitespace().collect::<Vec<_>>()[..] {
-                ["begin"] => *told.lock().unwrap() = Some(Clock::default().now()),
-                ["begin", at] if at.parse::<f64>().is_ok() => *told.lock().unwrap() = at.parse().ok(),
+                ["begin"] => *received.lock().unwrap() = Some(Clock::default().now()),
+                ["begin", time] if time.parse::<f64>().is_ok() => {
+                    *received.lock().unwrap() = time.parse().ok()
+                }
                 [] => {}
-                _ => eprintln!("quaypath-day: '{line}' is not 'begin' or 'begin SECONDS'"),
+                _ => eprintln!("quaypath-day: ignored '{line}', neither 'begin' nor 'begin SECONDS'"),
             }
         }
-        closed.store(true, Ordering::Relaxed);
+        ended.store(true, Ordering::Relaxed);
     });
     let ready = |addresses: &[(u32, SocketAddr)]| {
         addresses.iter().for_each(|(number, address)| print_line!("gateway {number} {address}"));
         print_line!("ready");
     };
-    let begins = || *begins.lock().unwrap();
-    run::fleet(&day, &deployment, &options, ready, begins, || over.load(Ordering::Relaxed))
+    let begins = || *begins_at.lock().unwrap();
+    run::fleet(&day, &deployment, &options, ready, begins, || input_ended.load(Ordering::Relaxed))
         .map_err(|error| error.to_string())?;
-    let mut kept = true;
+    let mut rules_kept = true;
     if !arguments.judge.is_empty() {
         let mut paths = vec![run::record_path(&folder)];
         paths.extend(arguments.judge.iter().cloned());
         let report = report::of_files(&deployment, day.transit, &paths).map_err(|error| error.to_string())?;
         print_line!("{}", report.verdict());
-        kept = report.kept();
+        rules_kept = report.kept();
     }
-    if arguments.folder.is_none() && kept {
-        let _ = std::fs::remove_dir_all(&own);
+    if arguments.folder.is_none() && rules_kept {
+        let _ = std::fs::remove_dir_all(&default_folder);
     }
-    Ok(kept)
+    Ok(rules_kept)
 }
 
 fn show(path: &Path) -> Result<bool, String> {
     let (day, deployment) = quaypath_settings::day(path).map_err(|error| error.to_string())?;
-    let asks = plan::traffic(&day, &deployment);
-    print_line!("{}: {} s, {} first tries", day.name, day.lasts, asks.len());
-    for (at, act) in plan::script(&day, &deployment) {
-        print_line!("{at:8.2} s  {act:?}");
+    let commands = plan::traffic(&day, &deployment);
+    print_line!("{}: {} s, {} first tries", day.name, day.lasts, commands.len());
+    for (at, action) in plan::script(&day, &deployment) {
+        print_line!("{at:8.2} s  {action:?}");
     }
     Ok(true)
 }
@@ -352,12 +370,12 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     arguments.logs.start();
-    let done = match arguments.act {
-        Act::Run(run) => run_day(run),
-        Act::Storm(arguments) => storm(&arguments),
-        Act::Fleet(arguments) => fleet(&arguments),
-        Act::Members(arguments) => members(&arguments),
-        Act::Show { day } => show(&day),
+    let result = match arguments.action {
+        Action::Run(run) => run_day(run),
+        Action::Storm(arguments) => storm(&arguments),
+        Action::Fleet(arguments) => fleet(&arguments),
+        Action::Members(arguments) => members(&arguments),
+        Action::Show { day } => show(&day),
     };
-    exit_code("quaypath-day", done)
+    exit_code("quaypath-day", result)
 }
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -1,4 +1,4 @@
-//! `quaypath-gateway`: one initiator on sockets, over NVMe/TCP or in service on the platform.
+//! `quaypath-gateway`: one initiator on sockets, over NVMe/TCP or over the HTTP of the platform.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -22,14 +22,14 @@
 use quaypath_record::{background, Clock};
 use quaypath_settings::{Deployment, Signalled, Talk};
 
-/// Takes transactions of clients over NVMe/TCP, or the platform's HTTP, and schedules them over the storage nodes.
+/// Accepts transactions of clients over NVMe/TCP, or over the platform's HTTP, and schedules them over storage nodes.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  quaypath-gateway --settings deploy/samples/rail.xml --number 0 --list /var/lib/quaypath/nodes.list\n  BALANCER_CONFIG=/run/balancer/config.json quaypath-gateway --platform"
 )]
 struct Arguments {
-    /// Serve on the platform, by the configuration that BALANCER_CONFIG names
+    /// Serve on the platform, with the configuration file that BALANCER_CONFIG names
     #[arg(long, conflicts_with_all = ["settings", "listen", "register", "number", "seed", "list", "careless", "fleet_listen", "member", "signals", "without"])]
     platform: bool,
     /// Deployment, XML by quaypath.xsd
@@ -44,43 +44,43 @@
     /// Number of this initiator among the deployment's, from 0
     #[arg(long, default_value_t = 0)]
     number: u32,
-    /// Seed of its chance; drawn from the clock where absent
+    /// Seed of its random numbers; taken from the clock by default
     #[arg(long)]
     seed: Option<u64>,
-    /// Where the last node list is kept
+    /// File that keeps the last node list
     #[arg(long, required_unless_present = "platform")]
     list: Option<PathBuf>,
     /// Stop when standard input ends, and print the counts on standard output
     #[arg(long)]
     until_stdin_closes: bool,
-    /// Run the careless baselines in place of the cores: keep no rule and no promise, for comparison only
+    /// Run the baselines in place of the cores, which keep no rule and no promise; for comparison only
     #[arg(long)]
     careless: bool,
-    /// Address to take the fleet's datagrams on, in place of this number's in the settings
+    /// Address to receive the fleet's datagrams on, in place of this number's in the settings
     #[arg(long)]
     fleet_listen: Option<SocketAddr>,
-    /// Where a member of the fleet takes datagrams, in place of the settings': NUMBER=ADDRESS
-    #[arg(long, value_parser = member)]
+    /// Address of a member of the fleet for datagrams, in place of the settings': NUMBER=ADDRESS
+    #[arg(long, value_parser = parse_member)]
     member: Vec<(u16, SocketAddr)>,
-    /// What it tells and lends to other initiators, in place of the settings': none, news, parts or all
-    #[arg(long, value_parser = signalled)]
+    /// What it reports and lends to other initiators, in place of the settings': none, news, parts or all
+    #[arg(long, value_parser = parse_signalled)]
     signals: Option<Signalled>,
-    /// Take a safeguard away, for tests of the tests only
-    #[arg(long, hide = true, value_parser = safeguard)]
+    /// Disable a safeguard, only for checking that the tests notice
+    #[arg(long, hide = true, value_parser = parse_safeguard)]
     without: Option<Safeguard>,
     #[command(flatten)]
     logs: Logs,
 }
 
-fn member(word: &str) -> Result<(u16, SocketAddr), String> {
-    let pair = word
+fn parse_member(text: &str) -> Result<(u16, SocketAddr), String> {
+    let pair = text
         .split_once('=')
         .and_then(|(number, address)| Some((number.parse().ok()?, address.parse().ok()?)));
     pair.ok_or_else(|| "a number and an address, as 3=127.0.0.1:7300".into())
 }
 
-fn signalled(word: &str) -> Result<Signalled, String> {
-    match word {
+fn parse_signalled(text: &str) -> Result<Signalled, String> {
+    match text {
         "none" => Ok(Signalled::None),
         "news" => Ok(Signalled::News),
         "parts" => Ok(Signalled::Parts),
@@ -89,29 +89,31 @@
     }
 }
 
-fn safeguard(word: &str) -> Result<Safeguard, String> {
-    let known = Safeguard::ALL.iter().find(|(name, _)| *name == word);
+fn parse_safeguard(text: &str) -> Result<Safeguard, String> {
+    let known = Safeguard::ALL.iter().find(|(name, _)| *name == text);
     known.map(|(_, safeguard)| *safeguard).ok_or_else(|| {
         let names: Vec<&str> = Safeguard::ALL.iter().map(|(name, _)| *name).collect();
         names.join(", ")
     })
 }
 
-/// A line of a day's script on standard input: `disk SECONDS` for which it takes nothing, `clock RATE STEP` of this
-/// process, `signals MANNER` to other initiators.
-fn scripted(line: &str, skew: &SkewedClock, spoken: &SignalControl) -> Result<(), String> {
-    let number = |word: &str, most: f64| {
-        let number = word.parse::<f64>().ok().filter(|number| (0.0..=most).contains(number));
-        number.ok_or(format!("'{word}' is not a number from 0 to {most}"))
+/// Executes a line of a test day's script from standard input: `disk SECONDS` stalls the disk, `clock RATE STEP` skews
+/// this process's clock, `signals MANNER` sets how it reports to other initiators.
+fn run_script_line(
+    line: &str, skewed_clock: &SkewedClock, signal_control: &SignalControl,
+) -> Result<(), String> {
+    let number = |text: &str, limit: f64| {
+        let number = text.parse::<f64>().ok().filter(|number| (0.0..=limit).contains(number));
+        number.ok_or(format!("'{text}' is not a number from 0 to {limit}"))
     };
     match line.split_whitespace().collect::<Vec<_>>()[..] {
         ["disk", seconds] => background::stall_disk(Duration::from_secs_f64(number(seconds, 3600.0)?)),
         ["clock", rate, step] => {
-            skew.set(Clock::default().now(), number(rate, 10.0)?, number(step, 86400.0)?)
+            skewed_clock.set(Clock::default().now(), number(rate, 10.0)?, number(step, 86400.0)?)
         }
-        ["signals", "well"] => spoken.set(SignalBehavior::Correct),
-        ["signals", "shouts"] => spoken.set(SignalBehavior::ClaimsAlways),
-        ["signals", "stale"] => spoken.set(SignalBehavior::StaleReports),
+        ["signals", "well"] => signal_control.set(SignalBehavior::Correct),
+        ["signals", "shouts"] => signal_control.set(SignalBehavior::ClaimsAlways),
+        ["signals", "stale"] => signal_control.set(SignalBehavior::StaleReports),
         [] => {}
         _ => {
             let known = "'disk SECONDS', 'clock RATE STEP' or 'signals well|shouts|stale'";
@@ -121,26 +123,27 @@
     Ok(())
 }
 
-/// Done when standard input ends; read on a thread, as it may be a file or a terminal. Its lines are a day's script.
-async fn stdin_ends(skew: SkewedClock, spoken: SignalControl) {
-    let (ours, theirs) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
+/// Completes when standard input ends. A thread reads it, because it may be a file or a terminal, and executes its lines
+/// as a test day's script.
+async fn wait_for_stdin_end(skewed_clock: SkewedClock, signal_control: SignalControl) {
+    let (waiting_end, reading_end) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if let Err(what) = scripted(&line, &skew, &spoken) {
-                eprintln!("quaypath-gateway: standard input: {what}");
+            if let Err(reason) = run_script_line(&line, &skewed_clock, &signal_control) {
+                eprintln!("quaypath-gateway: ignored a line of standard input: {reason}");
             }
         }
-        drop(theirs);
+        drop(reading_end);
     });
-    if let Ok(ours) = async_io::Async::new(ours) {
-        let _ = ours.readable().await;
+    if let Ok(waiting_end) = async_io::Async::new(waiting_end) {
+        let _ = waiting_end.readable().await;
     }
 }
 
-/// In service on the platform.
-fn serve() -> Result<bool, String> {
+/// Serves on the platform.
+fn serve_platform() -> Result<bool, String> {
     let path = std::env::var_os("BALANCER_CONFIG")
-        .ok_or("BALANCER_CONFIG is not set: the path of a configuration")?;
+        .ok_or("BALANCER_CONFIG is not set; it must be the path of a configuration file")?;
     let config =
         Config::read(path.as_ref(), |name| std::env::var(name).ok()).map_err(|error| error.to_string())?;
     let listen = config.listen;
@@ -148,55 +151,57 @@
     Ok(true)
 }
 
-/// What this number tells and lends to others; none where that is switched off.
-fn signals(arguments: &Arguments, of: &Talk, seed: u64) -> Option<signal::SignalConfig> {
-    let how = arguments.signals.unwrap_or(of.signals);
+/// Configuration of what this gateway reports and lends to others; none if that is switched off.
+fn signal_config(arguments: &Arguments, talk: &Talk, seed: u64) -> Option<signal::SignalConfig> {
+    let signalled = arguments.signals.unwrap_or(talk.signals);
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let figures = signal::SignalConfig {
+    let own_config = signal::SignalConfig {
         own_id: MemberId(arguments.number as u16),
-        members: of.member.iter().map(|member| MemberId(member.number)).collect(),
-        // Hundredths of a second, over and over: of two lives the one ahead by less than half of all is the later.
+        members: talk.member.iter().map(|member| MemberId(member.number)).collect(),
+        // Hundredths of a second, wrapping around: of two incarnations the later one is ahead by less than half of the
+        // range.
         incarnation: wall.map_or(0, |since| (since.as_millis() / 10) as u32),
         seed,
-        sends_reports: matches!(how, Signalled::News | Signalled::All),
-        lends: matches!(how, Signalled::Parts | Signalled::All),
+        sends_reports: matches!(signalled, Signalled::News | Signalled::All),
+        lends: matches!(signalled, Signalled::Parts | Signalled::All),
         message_cost: 0.0,
         disabled_safeguard: arguments.without,
     };
-    (how != Signalled::None && !arguments.careless).then_some(figures)
+    (signalled != Signalled::None && !arguments.careless).then_some(own_config)
 }
 
-/// This number's place in the fleet, on a socket that is bound.
-fn talk(
-    arguments: &Arguments, deployment: &Deployment, of: &Talk, seed: u64,
+/// Options of this gateway as a member of the fleet, with its socket bound.
+fn fleet_options(
+    arguments: &Arguments, deployment: &Deployment, talk: &Talk, seed: u64,
 ) -> Result<fleet::Options, String> {
     let number = arguments.number as u16;
-    let own = of.member.iter().find(|member| member.number == number).ok_or_else(|| {
-        format!("--number {number}: not a member of the fleet '{}' (settings, fleet, member)", of.name)
+    let own_entry = talk.member.iter().find(|member| member.number == number).ok_or_else(|| {
+        format!("--number {number}: not a member of the fleet '{}' (settings, fleet, member)", talk.name)
     })?;
     let mut addresses = BTreeMap::new();
-    for member in &of.member {
-        let given = arguments.member.iter().find(|(number, _)| *number == member.number);
-        let address = match given {
+    for member in &talk.member {
+        let replacement = arguments.member.iter().find(|(number, _)| *number == member.number);
+        let address = match replacement {
             Some((_, address)) => *address,
-            // Checked when the settings were loaded.
-            None => {
-                member.address.parse().map_err(|_| format!("fleet, member {}: address", member.number))?
-            }
+            // The address was checked when the settings were loaded.
+            None => member
+                .address
+                .parse()
+                .map_err(|_| format!("fleet, member {}: invalid address", member.number))?,
         };
         addresses.insert(MemberId(member.number), address);
     }
-    if let Some((stranger, _)) =
+    if let Some((unknown, _)) =
         arguments.member.iter().find(|(number, _)| !addresses.contains_key(&MemberId(*number)))
     {
-        return Err(format!("--member {stranger}: not a member of the fleet '{}'", of.name));
+        return Err(format!("--member {unknown}: not a member of the fleet '{}'", talk.name));
     }
     let listen = match arguments.fleet_listen {
         Some(address) => address,
-        None => own.address.parse().map_err(|_| format!("fleet, member {number}: address"))?,
+        None => own_entry.address.parse().map_err(|_| format!("fleet, member {number}: invalid address"))?,
     };
     let socket = UdpSocket::bind(listen).map_err(|error| format!("fleet: listen on {listen}: {error}"))?;
-    let row = |member: &quaypath_settings::Member| MemberEntry {
+    let entry = |member: &quaypath_settings::Member| MemberEntry {
         member: MemberId(member.number),
         weight: member.weight,
     };
@@ -205,13 +210,13 @@
         addresses,
         figures: FleetConfig {
             own_id: MemberId(number),
-            fleet: message::fleet_hash(&of.name),
-            members: of.member.iter().map(row).collect(),
-            check_period: of.period,
-            ack_timeout: of.wait,
-            helpers: usize::from(of.helpers),
-            duty_interval: of.probe_every,
-            takeover_window: of.window,
+            fleet: message::fleet_hash(&talk.name),
+            members: talk.member.iter().map(entry).collect(),
+            check_period: talk.period,
+            ack_timeout: talk.wait,
+            helpers: usize::from(talk.helpers),
+            duty_interval: talk.probe_every,
+            takeover_window: talk.window,
             disabled_safeguard: None,
         },
         seed,
@@ -219,20 +224,20 @@
         probe_timeout: deployment.connections.connect,
         baseline: arguments.careless,
         skewed_clock: SkewedClock::default(),
-        signals: signals(arguments, of, seed),
+        signals: signal_config(arguments, talk, seed),
         manner: SignalControl::default(),
     })
 }
 
 fn start(arguments: Arguments) -> Result<bool, String> {
-    let (settings, list) = match (arguments.settings.clone(), arguments.list.clone()) {
-        (Some(settings), Some(list)) if !arguments.platform => (settings, list),
-        _ => return serve(),
+    let (settings, list_path) = match (arguments.settings.clone(), arguments.list.clone()) {
+        (Some(settings), Some(list_path)) if !arguments.platform => (settings, list_path),
+        _ => return serve_platform(),
     };
     let mut deployment = quaypath_settings::deployment(&settings).map_err(|error| error.to_string())?;
     if f64::from(arguments.number) >= deployment.core.initiators {
-        let most = deployment.core.initiators;
-        return Err(format!("--number {}: the deployment's layout has {most} initiators", arguments.number));
+        let count = deployment.core.initiators;
+        return Err(format!("--number {}: the deployment's layout has {count} initiators", arguments.number));
     }
     if let Some(register) = arguments.register {
         deployment.register.address = register.to_string();
@@ -243,12 +248,12 @@
     };
     let listener = TcpListener::bind(&listen).map_err(|error| format!("listen on {listen}: {error}"))?;
     let address = listener.local_addr().map_err(|error| error.to_string())?;
-    let nanos = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let seed = arguments.seed.unwrap_or(nanos.map_or(1, |since| since.as_nanos() as u64));
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    let seed = arguments.seed.unwrap_or(since_epoch.map_or(1, |since| since.as_nanos() as u64));
     let fleet = match &deployment.fleet {
-        Some(of) => Some(talk(&arguments, &deployment, of, seed)?),
+        Some(talk) => Some(fleet_options(&arguments, &deployment, talk, seed)?),
         None if arguments.fleet_listen.is_some() || !arguments.member.is_empty() => {
-            return Err("--fleet-listen, --member: the settings have no fleet".into());
+            return Err("--fleet-listen and --member need settings with a fleet".into());
         }
         None => None,
     };
@@ -260,7 +265,7 @@
         deployment: Rc::new(deployment),
         number: arguments.number,
         seed,
-        list_path: list,
+        list_path,
         core_factory: if arguments.careless { core::baseline } else { core::scheduler },
         fleet,
     };
@@ -270,30 +275,32 @@
         print_line!("fleet {address}");
     }
     let _ = std::io::stdout().flush();
-    let until = arguments.until_stdin_closes;
-    let skew = options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
-    let spoken = options.fleet.as_ref().map_or_else(SignalControl::default, |fleet| fleet.manner.clone());
-    let mut terms = match &options.fleet {
+    let stop_at_stdin_end = arguments.until_stdin_closes;
+    let skewed_clock =
+        options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
+    let signal_control =
+        options.fleet.as_ref().map_or_else(SignalControl::default, |fleet| fleet.manner.clone());
+    let mut term_signals = match &options.fleet {
         Some(_) => Some(Signals::new([Signal::Term]).map_err(|error| format!("SIGTERM: {error}"))?),
         None => None,
     };
-    let term = async move {
-        match &mut terms {
-            Some(terms) => drop(terms.next().await),
+    let terminated = async move {
+        match &mut term_signals {
+            Some(term_signals) => drop(term_signals.next().await),
             None => std::future::pending().await,
         }
     };
     let stop = async move {
-        if until {
-            stdin_ends(skew, spoken).await;
+        if stop_at_stdin_end {
+            wait_for_stdin_end(skewed_clock, signal_control).await;
         } else {
             std::future::pending::<()>().await;
         }
     };
-    // A member of a fleet leaves it in order at SIGTERM.
-    let stop = stop.or(term);
+    // At SIGTERM a member of a fleet leaves it in order; without a fleet SIGTERM ends the process as usual.
+    let stop = stop.or(terminated);
     let counts = run(&options, listener, stop).map_err(|error| error.to_string())?;
-    if until {
+    if stop_at_stdin_end {
         print_line!("{}", serde_json::to_string(&counts).map_err(|error| error.to_string())?);
     }
     Ok(true)
@@ -301,8 +308,8 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // On the platform the log goes as it always has; elsewhere nothing that serves waits for it.
-    let _logs = if arguments.platform {
+    // On the platform the log is written directly; elsewhere no thread that serves requests may wait for it.
+    let _log_guard = if arguments.platform {
         arguments.logs.start();
         None
     } else {
