--- a/crates/programs/src/bin/nvme.rs
+++ b/crates/programs/src/bin/nvme.rs
@@ -1,4 +1,4 @@
-//! `quaypath-nvme`: a small client for gateways, targets and registers.
+//! `quaypath-nvme`: a small NVMe/TCP client for gateways, nodes and registers.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -20,24 +20,24 @@
 use quaypath_nvme::{admin, status, BLOCK_SIZE, MAX_DATA};
 use quaypath_programs::{exit_code, print_line};
 
-/// Talks NVMe/TCP to one gateway, target or register.
+/// Sends NVMe/TCP commands to one gateway, node or register.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  quaypath-nvme discover 127.0.0.1:8009\n  quaypath-nvme read 127.0.0.1:4420 --namespace 1 --from 0 --blocks 8 > data"
 )]
 struct Arguments {
-    /// Digests to ask for
+    /// Digests to require
     #[arg(long, value_enum, default_value = "none", global = true)]
     digests: Digests,
     /// Seconds to wait for each answer
     #[arg(long, default_value_t = 10.0, global = true)]
     wait: f64,
-    /// Name of this host
+    /// NQN of this host
     #[arg(long, default_value = "nqn.2026-12.example.quaypath:client:0", global = true)]
     host: String,
     #[command(subcommand)]
-    act: Act,
+    action: Action,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -50,30 +50,31 @@
 
 #[derive(Args)]
 struct Range {
+    /// Address of the peer
     address: SocketAddr,
     #[arg(long)]
     namespace: u32,
     /// First logical block
     #[arg(long)]
     from: u64,
-    /// Band, counted from 1; 0 leaves it to the gateway's settings
+    /// Number of the band, from 1; 0 leaves it to the gateway's settings
     #[arg(long, default_value_t = 0)]
     band: u8,
-    /// Mark against repeats
+    /// Mark by which repeats are recognised
     #[arg(long, default_value_t = 0)]
     mark: u64,
 }
 
 #[derive(Subcommand)]
-enum Act {
-    /// Reads a register's discovery log and access states
+enum Action {
+    /// Reads the discovery log and access states of a register
     Discover { address: SocketAddr },
-    /// Connects, enables, shuts down, and tells each step
+    /// Connects, enables and shuts down a controller, and prints each step
     Connect { address: SocketAddr },
-    /// Tells the controller and its namespaces
+    /// Prints the controller and its namespaces
     Identify {
         address: SocketAddr,
-        /// One namespace only
+        /// Print this namespace only
         #[arg(long)]
         namespace: Option<u32>,
     },
@@ -81,15 +82,16 @@
     Read {
         #[command(flatten)]
         range: Range,
+        /// Number of logical blocks
         #[arg(long, default_value_t = 8)]
         blocks: u32,
     },
-    /// Writes standard input, padded with zeroes to whole blocks
+    /// Writes standard input, padded with zeroes to whole logical blocks
     Write {
         #[command(flatten)]
         range: Range,
     },
-    /// Compares standard input with what is there; exits 1 where they differ
+    /// Compares standard input with the stored data; exits with 1 if they differ
     Compare {
         #[command(flatten)]
         range: Range,
@@ -100,47 +102,51 @@
         #[arg(long)]
         namespace: u32,
     },
-    /// Prints the PDUs of a recorded stream, one direction, as text
+    /// Prints the PDUs in a file with one direction of a recorded TCP stream
     Decode { file: PathBuf },
 }
 
+/// Connection settings for one peer.
 struct Client {
     address: SocketAddr,
     offer: Offer,
     host: String,
+    /// Time to wait for each answer, seconds.
     wait: f64,
 }
 
+/// Explanation of a status for the user.
 fn hint(status: u16) -> &'static str {
     match status::code(status) {
-        status::INTERRUPTED => "declined: nothing was done; try again after the delay",
+        status::INTERRUPTED => "declined: the command was not run; retry after the delay",
         status::INTERNAL_ERROR => {
-            "scrapped: it may or may not have run; a write's effect has to be read back"
+            "scrapped: the command may or may not have run; read back the data of a write"
         }
         status::INVALID_NAMESPACE => "no such namespace; `identify` lists them",
-        status::LBA_RANGE => "past the namespace's end; `identify --namespace` tells its size",
+        status::LBA_RANGE => "past the namespace's end; `identify --namespace` prints its size",
         status::INVALID_FIELD => {
-            "refused: a transfer over two extents, or a band that does not fit the command"
+            "refused: a transfer over two extents, or a band that does not allow the command"
         }
-        status::CONNECT_INVALID => "the queue or controller id is not one that the peer gave",
-        status::CONNECT_BUSY => "the peer has as many associations as it takes",
+        status::CONNECT_INVALID => "the queue or controller id was not assigned by the peer",
+        status::CONNECT_BUSY => "the peer has reached its maximum number of associations",
         status::INVALID_LOG => "this peer has no such log; a register has the discovery log, gateways do not",
-        status::TRANSPORT_ERROR => "data was spoilt on the way",
-        status::COMMAND_SEQUENCE => "the controller is not enabled, or was shut down",
+        status::TRANSPORT_ERROR => "the data was corrupted in transit",
+        status::COMMAND_SEQUENCE => "the controller is not enabled or has been shut down",
         _ => "see docs/protocol.md",
     }
 }
 
-fn good(what: &str, (cqe, data): (Cqe, Vec<u8>)) -> Result<(Cqe, Vec<u8>), String> {
+/// Returns the answer of a successful command, or an error with its status.
+fn require_success(command_name: &str, (cqe, data): (Cqe, Vec<u8>)) -> Result<(Cqe, Vec<u8>), String> {
     if cqe.status == 0 {
         return Ok((cqe, data));
     }
     let delay =
-        if cqe.status & status::CRD1 != 0 { format!(", come back in {} ms", cqe.dw0) } else { String::new() };
-    let again = if cqe.status & status::DNR != 0 { ", do not retry" } else { "" };
+        if cqe.status & status::CRD1 != 0 { format!(", retry in {} ms", cqe.dw0) } else { String::new() };
+    let no_retry = if cqe.status & status::DNR != 0 { ", do not retry" } else { "" };
     let code = status::code(cqe.status);
     Err(format!(
-        "{what}: status {:#x} (type {}, code {:#04x}{again}{delay}): {}",
+        "{command_name}: status {:#x} (type {}, code {:#04x}{no_retry}{delay}): {}",
         cqe.status,
         code >> 8,
         code & 0xff,
@@ -149,15 +155,16 @@
 }
 
 impl Client {
-    fn run<R>(&self, done: impl std::future::Future<Output = std::io::Result<R>>) -> Result<R, String> {
-        async_io::block_on(with_timeout(self.wait.clamp(0.01, 3600.0), done)).map_err(|error| {
+    /// Runs an operation within the wait.
+    fn run<R>(&self, operation: impl std::future::Future<Output = std::io::Result<R>>) -> Result<R, String> {
+        async_io::block_on(with_timeout(self.wait.clamp(0.01, 3600.0), operation)).map_err(|error| {
             let hint = match error.kind() {
-                std::io::ErrorKind::ConnectionRefused => "; nothing listens there",
+                std::io::ErrorKind::ConnectionRefused => "; nothing listens on this address",
                 std::io::ErrorKind::TimedOut => {
-                    "; it listens and does not answer, or is no NVMe/TCP controller"
+                    "; the peer does not answer, or is not an NVMe/TCP controller"
                 }
                 std::io::ErrorKind::ConnectionReset => {
-                    "; the peer closed: too many clients, or it does not speak this"
+                    "; the peer closed the connection: it has too many clients, or does not speak NVMe/TCP"
                 }
                 _ => "",
             };
@@ -169,13 +176,18 @@
         self.run(open_admin_queue(self.address, subsystem, &self.host, self.offer, queues, false))
     }
 
-    fn ask(&self, what: &str, queue: &mut Queue, sqe: Sqe) -> Result<(Cqe, Vec<u8>), String> {
+    fn run_admin(&self, command_name: &str, queue: &mut Queue, sqe: Sqe) -> Result<(Cqe, Vec<u8>), String> {
         let expected = admin::brings(&sqe);
-        good(what, self.run(submit_and_wait(queue, sqe, Vec::new(), expected, &mut Vec::new()))?)
+        require_success(
+            command_name,
+            self.run(submit_and_wait(queue, sqe, Vec::new(), expected, &mut Vec::new()))?,
+        )
     }
 
-    /// One I/O command on a queue of its own.
-    fn io(&self, what: &str, sqe: Sqe, data: Vec<u8>, expected: usize) -> Result<(Cqe, Vec<u8>), String> {
+    /// Runs one I/O command on a new I/O queue; `expected` is the length of the data that it returns, in bytes.
+    fn io(
+        &self, command_name: &str, sqe: Sqe, data: Vec<u8>, expected: usize,
+    ) -> Result<(Cqe, Vec<u8>), String> {
         let (admin, enable) = self.admin("nqn.2026-12.example.quaypath:gateway", 1)?;
         let opening = open_io_queue(
             self.address,
@@ -188,27 +200,31 @@
         let mut queue = self.run(opening)?;
         let answer = self.run(submit_and_wait(&mut queue, sqe, data, expected, &mut Vec::new()))?;
         drop(admin);
-        good(what, answer)
+        require_success(command_name, answer)
     }
 }
 
 fn discover(client: &Client) -> Result<bool, String> {
     let (mut queue, _) = client.admin(DISCOVERY_NQN, 0)?;
-    let (_, head) = client.ask("discovery log", &mut queue, get_log(log::DISCOVERY, 0, 1024, true))?;
-    let (generation, count) = discovery_header(&head).ok_or("the discovery log has no header")?;
-    let count =
-        usize::try_from(count).ok().filter(|count| *count <= 65536).ok_or("more records than are taken")?;
-    let mut whole = head;
-    while whole.len() < 1024 * (count + 1) {
-        let piece = (1024 * (count + 1) - whole.len()).min(32 * 1024);
-        let sqe = get_log(log::DISCOVERY, whole.len() as u64, piece, true);
-        whole.extend(client.ask("discovery log", &mut queue, sqe)?.1);
+    let (_, first_record) =
+        client.run_admin("discovery log", &mut queue, get_log(log::DISCOVERY, 0, 1024, true))?;
+    let (generation, count) = discovery_header(&first_record).ok_or("the discovery log has no header")?;
+    let count = usize::try_from(count)
+        .ok()
+        .filter(|count| *count <= 65536)
+        .ok_or("the discovery log has more than 65536 records")?;
+    let mut log_page = first_record;
+    while log_page.len() < 1024 * (count + 1) {
+        let chunk = (1024 * (count + 1) - log_page.len()).min(32 * 1024);
+        let sqe = get_log(log::DISCOVERY, log_page.len() as u64, chunk, true);
+        log_page.extend(client.run_admin("discovery log", &mut queue, sqe)?.1);
     }
-    let states = client.ask("access states", &mut queue, get_log(log::ANA, 0, 16 + 32 * count.max(1), true));
+    let states =
+        client.run_admin("access states", &mut queue, get_log(log::ANA, 0, 16 + 32 * count.max(1), true));
     let groups =
         states.ok().and_then(|(_, data)| access_groups(&data)).map_or(Vec::new(), |(_, groups)| groups);
     print_line!("generation {generation}, {count} records");
-    for record in (0..count).filter_map(|at| discovery_record(&whole, at)) {
+    for record in (0..count).filter_map(|index| discovery_record(&log_page, index)) {
         let state =
             groups.iter().find(|(id, ..)| *id == u32::from(record.port) + 1).map(|(_, state, _)| *state);
         let state = match state {
@@ -237,18 +253,18 @@
     for (name, at) in
         [("CAP", property::CAP), ("VS", property::VS), ("CC", property::CC), ("CSTS", property::CSTS)]
     {
-        let (cqe, _) = client.ask(name, &mut queue, property_get(at))?;
+        let (cqe, _) = client.run_admin(name, &mut queue, property_get(at))?;
         print_line!("{name}: {:#x}", u64::from(cqe.dw0) | u64::from(cqe.dw1) << 32);
     }
-    client.ask("shutdown", &mut queue, property_set(property::CC, CC_SHUT_DOWN))?;
-    let (cqe, _) = client.ask("CSTS", &mut queue, property_get(property::CSTS))?;
+    client.run_admin("shutdown", &mut queue, property_set(property::CC, CC_SHUT_DOWN))?;
+    let (cqe, _) = client.run_admin("CSTS", &mut queue, property_get(property::CSTS))?;
     print_line!("shut down: CSTS {:#x}", cqe.dw0);
     Ok(true)
 }
 
-fn identify_all(client: &Client, one: Option<u32>) -> Result<bool, String> {
+fn identify_controller(client: &Client, only: Option<u32>) -> Result<bool, String> {
     let (mut queue, enable) = client.admin("nqn.2026-12.example.quaypath:gateway", 1)?;
-    let identity = enable.identity.ok_or("no identity")?;
+    let identity = enable.identity.ok_or("the controller returned no identity")?;
     print_line!(
         "subsystem {}  controller {}  model {} {}",
         identity.subsystem,
@@ -263,30 +279,31 @@
         identity.most_commands,
         identity.retry_delays
     );
-    let mut ids = one.map_or(Vec::new(), |one| vec![one]);
-    if one.is_none() {
+    let mut ids = only.map_or(Vec::new(), |only| vec![only]);
+    if only.is_none() {
         loop {
             let after = ids.last().copied().unwrap_or(0);
-            let more = namespace_list(&client.ask("namespaces", &mut queue, identify(2, after))?.1);
-            ids.extend(&more);
-            if more.len() < 1024 {
+            let page = namespace_list(&client.run_admin("namespaces", &mut queue, identify(2, after))?.1);
+            ids.extend(&page);
+            if page.len() < 1024 {
                 break;
             }
         }
     }
     for nsid in ids {
-        let (_, data) = client.ask(&format!("namespace {nsid}"), &mut queue, identify(0, nsid))?;
-        let (blocks, size) = namespace_size(&data).ok_or("a namespace with a format of another kind")?;
+        let (_, data) = client.run_admin(&format!("namespace {nsid}"), &mut queue, identify(0, nsid))?;
+        let (blocks, size) = namespace_size(&data).ok_or("the namespace has an unsupported format")?;
         print_line!("namespace {nsid}: {blocks} blocks of {size} bytes");
     }
     Ok(true)
 }
 
-fn input() -> Result<Vec<u8>, String> {
+/// Reads the data of a command from standard input, padded with zeroes to whole logical blocks.
+fn read_input() -> Result<Vec<u8>, String> {
     let mut data = Vec::new();
     std::io::stdin().take(MAX_DATA as u64 + 1).read_to_end(&mut data).map_err(|error| error.to_string())?;
     if data.is_empty() || data.len() > MAX_DATA {
-        return Err(format!("standard input: {} bytes; 1 to {MAX_DATA} are taken", data.len()));
+        return Err(format!("standard input has {} bytes; 1 to {MAX_DATA} are allowed", data.len()));
     }
     data.resize(data.len().next_multiple_of(BLOCK_SIZE), 0);
     Ok(data)
@@ -299,32 +316,33 @@
 
 fn decode(path: &PathBuf) -> Result<bool, String> {
     let bytes = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let (mut decoder, mut at) = (Decoder::default(), 0);
+    let (mut decoder, mut position) = (Decoder::default(), 0);
     decoder.feed(&bytes);
     loop {
         let pending = decoder.pending();
         match decoder.next_pdu() {
             Ok(Some(pdu)) => {
                 let length = pending - decoder.pending();
-                print_line!("{at:8}  {length:6} bytes  {}", text(&pdu));
+                print_line!("{position:8}  {length:6} bytes  {}", describe(&pdu));
                 if let Pdu::IcResp { digest, .. } = pdu {
                     decoder.agree(Format::of(digest, 0));
                 }
-                at += length;
+                position += length;
             }
             Ok(None) if pending == 0 => return Ok(true),
             Ok(None) => {
                 return Err(format!(
-                    "{}, byte {at}: the last PDU has {pending} bytes and is not whole",
+                    "{}, byte {position}: the last PDU is incomplete, with {pending} bytes",
                     path.display()
                 ))
             }
-            Err(why) => return Err(format!("{}, byte {at}: {why}", path.display())),
+            Err(reason) => return Err(format!("{}, byte {position}: {reason}", path.display())),
         }
     }
 }
 
-fn text(pdu: &Pdu) -> String {
+/// One line of text about a PDU.
+fn describe(pdu: &Pdu) -> String {
     match pdu {
         Pdu::Command { sqe, data } => format!(
             "CapsuleCmd  opcode {:#04x} cid {} nsid {:#x} cdw10.. {:x?} data {}",
@@ -370,39 +388,39 @@
         host: arguments.host.clone(),
         wait: arguments.wait,
     };
-    match &arguments.act {
-        Act::Discover { address } => discover(&client(*address)),
-        Act::Connect { address } => connect(&client(*address)),
-        Act::Identify { address, namespace } => identify_all(&client(*address), *namespace),
-        Act::Read { range, blocks } => {
+    match &arguments.action {
+        Action::Discover { address } => discover(&client(*address)),
+        Action::Connect { address } => connect(&client(*address)),
+        Action::Identify { address, namespace } => identify_controller(&client(*address), *namespace),
+        Action::Read { range, blocks } => {
             let blocks = (*blocks).clamp(1, (MAX_DATA / BLOCK_SIZE) as u32);
             let sqe = transfer(range, opcode::READ, blocks);
             let (_, data) = client(range.address).io("read", sqe, Vec::new(), sqe.length())?;
             std::io::stdout().write_all(&data).map_err(|error| error.to_string())?;
             Ok(true)
         }
-        Act::Write { range } => {
-            let data = input()?;
+        Action::Write { range } => {
+            let data = read_input()?;
             let sqe = transfer(range, opcode::WRITE, (data.len() / BLOCK_SIZE) as u32);
             client(range.address).io("write", sqe, data, 0)?;
             Ok(true)
         }
-        Act::Compare { range } => {
-            let data = input()?;
+        Action::Compare { range } => {
+            let data = read_input()?;
             let sqe = transfer(range, opcode::COMPARE, (data.len() / BLOCK_SIZE) as u32);
             match client(range.address).io("compare", sqe, data, 0) {
                 Err(error) if error.contains(&format!("{:#x} ", status::COMPARE_FAILURE)) => {
                     print_line!("they differ");
                     Ok(false)
                 }
-                done => done.map(|_| true),
+                result => result.map(|_| true),
             }
         }
-        Act::Flush { address, namespace } => {
+        Action::Flush { address, namespace } => {
             let sqe = Sqe { opcode: opcode::FLUSH, nsid: *namespace, ..Sqe::default() };
             client(*address).io("flush", sqe, Vec::new(), 0).map(|_| true)
         }
-        Act::Decode { file } => decode(file),
+        Action::Decode { file } => decode(file),
     }
 }
 
