--- a/crates/programs/src/bin/check.rs
+++ b/crates/programs/src/bin/check.rs
@@ -1,4 +1,4 @@
-//! `quaypath-check`: judges the rules from records of what crossed the sockets.
+//! `quaypath-check`: judges the seven rules from records of what crossed the sockets.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,13 +7,14 @@
 use quaypath_day::report;
 use quaypath_programs::{exit_code, print_line};
 
+/// Format of the report.
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum Format {
     Table,
     Json,
 }
 
-/// Judges the seven rules from records; exits 1 where one is broken.
+/// Judges the seven rules from records; exits with 1 if one is broken.
 #[derive(Parser)]
 #[command(
     version,
@@ -23,12 +24,13 @@
     /// Deployment, XML by quaypath.xsd
     #[arg(long)]
     settings: PathBuf,
-    /// How far apart two programs' times of one moment may lie, seconds
+    /// Largest difference between the times that two programs record for the same moment, seconds
     #[arg(long, default_value_t = 0.05)]
     transit: f64,
+    /// Format of the report
     #[arg(long, value_enum, default_value = "table")]
-    format: Form,
-    /// Records, of one or more programs
+    format: Format,
+    /// Record files, of one or more programs
     #[arg(required = true)]
     records: Vec<PathBuf>,
 }
@@ -38,8 +40,8 @@
     let report = report::of_files(&deployment, arguments.transit, &arguments.records)
         .map_err(|error| error.to_string())?;
     match arguments.format {
-        Form::Table => print_line!("{}\n{}", report.table(), report.verdict()),
-        Form::Json => print_line!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?),
+        Format::Table => print_line!("{}\n{}", report.table(), report.verdict()),
+        Format::Json => print_line!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?),
     }
     Ok(report.kept())
 }
--- a/crates/programs/src/bin/migrate.rs
+++ b/crates/programs/src/bin/migrate.rs
@@ -1,4 +1,4 @@
-//! `quaypath-migrate`: an operator's deployment file carried over to another shape.
+//! `quaypath-migrate`: converts an operator's deployment file to another shape of deployment.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,30 +7,31 @@
 use quaypath_programs::{exit_code, print_line};
 use quaypath_settings::migrate::{migrate, write};
 
-/// Carries a deployment file over to another shape and tells what it could not carry over and what it filled in.
+/// Converts a deployment file to another shape, and reports what it could not carry over and what it filled in.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "The shape is a deployment file of the new kind. From it come: the register's mode, what is allowed,\n\
-                  the rules' figures, units, the size of the fleet, the bands, and whether plans have limits.\n\
-                  From the old file: name, addresses, connections, plans, volumes, band rules, placements, extents.\n\
-                  A band goes to the shape's of its name, else of the nearest due time, never to a looser one.\n\n\
-                  Exit codes: 0 carried over whole, 1 written but with things not carried over, 2 wrong usage or input.\n\n\
+    after_help = "The shape is a deployment file of the new kind. It provides the register's mode, what is allowed, the rules'\n\
+                  figures, units, the size of the fleet, the bands, and whether plans have limits.\n\
+                  The old file provides name, addresses, connections, plans, volumes, band rules, placements and extents.\n\
+                  A band becomes the shape's band of the same name, or else the one with the nearest due time, never a\n\
+                  less strict one.\n\n\
+                  Exit codes: 0 converted completely, 1 written but some settings were not carried over, 2 wrong usage or input.\n\n\
                   Example:\n  quaypath-migrate deploy/samples/rail.xml --to deploy/samples/heat.xml --output new.xml"
 )]
 struct Arguments {
-    /// Deployment of the old shape, XML by quaypath.xsd; never written to
+    /// Deployment to convert, XML by quaypath.xsd; never written to
     old: PathBuf,
-    /// A deployment of the new shape
+    /// Deployment of the new shape, XML by quaypath.xsd
     #[arg(long, value_name = "SHAPE")]
     to: PathBuf,
-    /// The file to write
+    /// File to write
     #[arg(long, value_name = "NEW")]
     output: PathBuf,
-    /// Tells the same and writes nothing
+    /// Print the same report and write nothing
     #[arg(long)]
     dry_run: bool,
-    /// Writes over a file that stands there
+    /// Overwrite an existing file
     #[arg(long)]
     force: bool,
 }
@@ -45,8 +46,8 @@
     if migration.same() {
         print_line!("{}: already of this shape, unchanged in meaning", old.display());
     }
-    let done = if dry_run { "would write" } else { "written" };
-    print_line!("{done}: {}", output.display());
+    let action = if dry_run { "would write" } else { "written" };
+    print_line!("{action}: {}", output.display());
     Ok(migration.whole())
 }
 
--- a/crates/programs/src/bin/register.rs
+++ b/crates/programs/src/bin/register.rs
@@ -1,4 +1,4 @@
-//! `quaypath-register`: the stand-in node register, fed by lines on standard input.
+//! `quaypath-register`: a stand-in for the node register, controlled by lines on standard input.
 
 use std::io::BufRead;
 use std::net::{SocketAddr, TcpListener};
@@ -12,32 +12,36 @@
 use quaypath_settings::Mode;
 use quaypath_standins::register::Register;
 
+/// How gateways receive the list.
 #[derive(Clone, Copy, ValueEnum)]
 enum ModeName {
     Pushed,
     Asked,
 }
 
-/// A stand-in for the node register. Each line of standard input changes the list:
-/// `ready|cold|draining|gone ADDRESS BLOCK [ZONE] [AFTER]`, or `fails`, `works`, `late SECONDS`.
+/// A stand-in for the node register. Each line of standard input changes the list,
+/// `ready|cold|draining|gone ADDRESS BLOCK [ZONE] [AFTER]`, or sets a fault, `fails`, `works` or `late SECONDS`.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  echo 'ready 127.0.0.1:4421 0' | quaypath-register --listen 127.0.0.1:8009"
 )]
 struct Arguments {
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
+    /// Whether the register pushes changes to gateways or is asked for them
     #[arg(long, value_enum, default_value = "pushed")]
     mode: ModeName,
-    /// Where its record goes
+    /// File for the record of what crossed the sockets
     #[arg(long)]
     record: Option<PathBuf>,
     #[command(flatten)]
     logs: Logs,
 }
 
-fn change(register: &Register, clock: &Clock, line: &str) -> Result<(), String> {
+/// Executes a line of standard input.
+fn execute(register: &Register, clock: &Clock, line: &str) -> Result<(), String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let condition = match words.first().copied() {
         None => return Ok(()),
@@ -51,21 +55,23 @@
         }
         Some("late") => {
             let seconds =
-                words.get(1).and_then(|word| word.parse().ok()).filter(|late| (0.0..3600.0).contains(late));
-            register.late(seconds.ok_or("late: needs seconds, 0 to 3600")?);
+                words.get(1).and_then(|text| text.parse().ok()).filter(|late| (0.0..3600.0).contains(late));
+            register.late(seconds.ok_or("late: a number of seconds from 0 to 3600 is needed")?);
             return Ok(());
         }
         Some("ready" | "cold") => Condition::Ready,
         Some("draining") => Condition::Draining,
         Some("gone") => Condition::Gone,
-        Some(other) => return Err(format!("'{other}': ready, cold, draining, gone, fails, works or late")),
+        Some(unknown) => {
+            return Err(format!("'{unknown}' is not ready, cold, draining, gone, fails, works or late"))
+        }
     };
     let node =
-        words.get(1).filter(|word| word.parse::<SocketAddr>().is_ok()).ok_or("an address is needed")?;
-    let block = words.get(2).and_then(|word| word.parse().ok()).ok_or("a block number is needed")?;
+        words.get(1).filter(|text| text.parse::<SocketAddr>().is_ok()).ok_or("an address is needed")?;
+    let block = words.get(2).and_then(|text| text.parse().ok()).ok_or("a block number is needed")?;
     let zone = words.get(3).copied().unwrap_or("hall-0");
     let after =
-        words.get(4).map_or(Ok(0.0), |word| word.parse::<f64>()).map_err(|error| error.to_string())?;
+        words.get(4).map_or(Ok(0.0), |text| text.parse::<f64>()).map_err(|error| error.to_string())?;
     let started = (words[0] == "cold").then(|| clock.now());
     register.list(node, zone, block, condition, started, after.clamp(0.0, 3600.0));
     Ok(())
@@ -84,11 +90,11 @@
     };
     let register = Register::start(mode, listener, record.clone()).map_err(|error| error.to_string())?;
     print_line!("listening {}", register.address);
-    for (at, line) in std::io::stdin().lock().lines().enumerate() {
+    for (index, line) in std::io::stdin().lock().lines().enumerate() {
         let line = line.map_err(|error| error.to_string())?;
-        // One bad line loses nothing of the others.
-        if let Err(what) = change(&register, &record.clock, &line) {
-            eprintln!("quaypath-register: standard input, line {}: {what}", at + 1);
+        // A faulty line is reported and the others are still executed.
+        if let Err(reason) = execute(&register, &record.clock, &line) {
+            eprintln!("quaypath-register: standard input, line {}: {reason}", index + 1);
         }
         record.flush().map_err(|error| error.to_string())?;
     }
@@ -100,6 +106,6 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let _logs = arguments.logs.start_in_background();
+    let _log_guard = arguments.logs.start_in_background();
     exit_code("quaypath-register", start(arguments))
 }
--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -1,4 +1,4 @@
-//! `quaypath-target`: one stand-in target.
+//! `quaypath-target`: a stand-in for one storage node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -13,9 +13,9 @@
 use quaypath_standins::serve::Running;
 use quaypath_standins::target::{spawn, zone_of, BandRule, Faults, Fleet, Options, TAKES};
 
-/// A stand-in for a storage node: takes time for its work, keeps no data. Each line of standard input sets a fault:
-/// `slow TIMES`, `pause SECONDS`, `errors PART`, `lost PART`, `heavy PART`, `resets A_SECOND`, `late SECONDS`, or
-/// `refuse|partition|deaf on|off`; `at SECONDS` before it waits until then, counted from the start.
+/// A stand-in for a storage node that takes time for its work and keeps no data. Each line of standard input sets a
+/// fault: `slow TIMES`, `pause SECONDS`, `errors PART`, `lost PART`, `heavy PART`, `resets A_SECOND`, `late SECONDS`, or
+/// `refuse|partition|deaf on|off`. A line that begins with `at SECONDS` waits until that time since the start.
 #[derive(Parser)]
 #[command(
     version,
@@ -25,36 +25,40 @@
     /// Deployment, XML by quaypath.xsd
     #[arg(long)]
     settings: PathBuf,
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Part of the data that it holds
+    /// Block of the data that the node holds
     #[arg(long)]
     block: i64,
+    /// Number of cores
     #[arg(long, default_value_t = 2)]
     cores: usize,
-    /// Node time of one random unit, seconds; 0: no work
+    /// Time that the node works on one random unit, seconds; 0 for no work
     #[arg(long, default_value_t = 0.014)]
     unit_time: f64,
-    /// Starts at part of its capacity
+    /// Start cold, at part of the node's capacity
     #[arg(long)]
     cold: bool,
-    /// Where its record goes
+    /// File for the record of what crossed the sockets
     #[arg(long)]
     record: Option<PathBuf>,
+    /// Seed of its random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
     logs: Logs,
 }
 
-fn set(faults: &mut Faults, words: &[&str]) -> Result<(), String> {
-    let [name, value] = words else { return Err("a fault and its value".into()) };
+/// Sets the fault that a line names.
+fn set_fault(faults: &mut Faults, words: &[&str]) -> Result<(), String> {
+    let [name, value] = words else { return Err("a fault and its value are needed".into()) };
     let number = || value.parse::<f64>().ok().filter(|value| (0.0..=1000.0).contains(value));
     let number = || number().ok_or(format!("{name}: '{value}' is not a number from 0 to 1000"));
     let switch = || match *value {
         "on" => Ok(true),
         "off" => Ok(false),
-        other => Err(format!("{name}: '{other}' is neither on nor off")),
+        unknown => Err(format!("{name}: '{unknown}' is neither on nor off")),
     };
     match *name {
         "slow" => faults.slow = number()?.max(0.01),
@@ -67,15 +71,15 @@
         "refuse" => faults.refuse = switch()?,
         "partition" => faults.partition = switch()?,
         "deaf" => faults.deaf = switch()?,
-        other => return Err(format!("'{other}' is not a fault")),
+        unknown => return Err(format!("'{unknown}' is not a fault")),
     }
     Ok(())
 }
 
-/// Follows the script on standard input for as long as it goes on.
-fn script(faults: &Arc<std::sync::Mutex<Faults>>) {
+/// Executes the script on standard input until it ends.
+fn run_script(faults: &Arc<std::sync::Mutex<Faults>>) {
     let start = std::time::Instant::now();
-    for (at, line) in std::io::stdin().lines().map_while(Result::ok).enumerate() {
+    for (index, line) in std::io::stdin().lines().map_while(Result::ok).enumerate() {
         let mut words: Vec<&str> = line.split_whitespace().collect();
         if let ["at", seconds, ..] = words[..] {
             let until = seconds.parse::<f64>().unwrap_or(0.0).clamp(0.0, 86400.0);
@@ -85,9 +89,9 @@
         if words.is_empty() {
             continue;
         }
-        // One bad line loses nothing of the others.
-        if let Err(what) = set(&mut faults.lock().unwrap(), &words) {
-            eprintln!("quaypath-target: standard input, line {}: {what}", at + 1);
+        // A faulty line is reported and the others are still executed.
+        if let Err(reason) = set_fault(&mut faults.lock().unwrap(), &words) {
+            eprintln!("quaypath-target: standard input, line {}: {reason}", index + 1);
         }
     }
 }
@@ -127,7 +131,7 @@
         bands: bands.collect(),
         metering: deployment.metering,
         nominal: Arc::new(
-            deployment.volumes.iter().map(|(id, one)| (*id, deployment.nominal[one.plan])).collect(),
+            deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect(),
         ),
         volumes: Arc::new(deployment.volumes.iter().map(|(id, volume)| (*id, volume.size)).collect()),
         takes: TAKES,
@@ -135,13 +139,13 @@
         spread: 0.4,
     };
     let (writer, faults) = (record.clone(), Arc::new(std::sync::Mutex::new(Faults::default())));
-    let scripted = faults.clone();
-    std::thread::spawn(move || script(&scripted));
-    // A thread of its own waits for the disk, not the one that serves.
+    let script_faults = faults.clone();
+    std::thread::spawn(move || run_script(&script_faults));
+    // A separate thread waits for the disk, so that the thread that serves does not.
     std::thread::spawn(move || loop {
         std::thread::sleep(std::time::Duration::from_millis(500));
         if let Err(error) = writer.flush() {
-            tracing::error!(%error, "the record loses lines");
+            tracing::error!(%error, "the record is incomplete");
         }
     });
     Running::here(move |executor| spawn(executor, options, listener, record, faults), std::future::pending());
@@ -150,6 +154,6 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let _logs = arguments.logs.start_in_background();
+    let _log_guard = arguments.logs.start_in_background();
     exit_code("quaypath-target", start(arguments))
 }
