--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use quaypath::types::Condition;
+use quaypath::types::NodeCondition;
 use quaypath_record::{Clock, Event, Writer};
 
 use quaypath_settings::{Day, Deployment, FaultKind, Party};
@@ -289,9 +289,9 @@
                 queue: fleet.queue * fleet.cores as usize,
                 start_capacity: core.start_capacity,
                 warm_after: fleet.warm_after,
-                fall_multiple: core.fall_multiple,
-                overload_for: core.overload_for,
-                young_units: core.young_units,
+                fall_multiple: core.overload_multiple,
+                overload_for: core.overload_window,
+                young_units: core.cold_start_units,
                 cancel_stops: fleet.cancel_stops,
             },
             bands,
@@ -308,7 +308,7 @@
         drop(blocks);
         let started = cold.then(|| self.record.clock.now());
         let notice = if cold { fleet.notice * 0.5 } else { 0.0 };
-        self.register.list(&target.node, &zone, block, Condition::Ready, started, notice);
+        self.register.list(&target.node, &zone, block, NodeCondition::Ready, started, notice);
         self.targets.insert(block, target);
         Ok(())
     }
@@ -341,10 +341,10 @@
                 });
                 self.fault(*kind, on, begins);
             }
-            Act::Drain { block } => self.unlist(*block, Condition::Draining, 0.0),
+            Act::Drain { block } => self.unlist(*block, NodeCondition::Draining, 0.0),
             Act::KillNode { block } => {
                 // The register sees a dead process later than a notice.
-                self.unlist(*block, Condition::Gone, self.day.fleet.notice);
+                self.unlist(*block, NodeCondition::Removed, self.day.fleet.notice);
                 self.targets.remove(block);
             }
             Act::Replace { block } => self.target(*block, true)?,
@@ -458,7 +458,7 @@
         }
     }
 
-    fn unlist(&self, block: i64, condition: Condition, after: f64) {
+    fn unlist(&self, block: i64, condition: NodeCondition, after: f64) {
         if let Some(target) = self.targets.get(&block) {
             let zone = zone_of(block, self.deployment.zones);
             self.register.list(&target.node, &zone, block, condition, None, after);
--- a/crates/day/src/shares.rs
+++ b/crates/day/src/shares.rs
@@ -75,13 +75,13 @@
     let mut arrived: BTreeSet<u64> = BTreeSet::new();
     let mut cold: HashMap<String, f64> = HashMap::new();
     let (mut borne, mut given) = (0.0, 0.0);
-    let cold_for = core.cold_for;
+    let cold_for = core.warm_up;
     let last = events.last().map_or(0.0, Event::time);
     // What a node that has been up for so long always bears, in all: it grows as it warms.
     let first = core.start_capacity.clamp(0.01, 1.0);
     let bears = |up: f64| {
         let up = up.min(cold_for);
-        core.young_units / core.overload_for.max(0.01)
+        core.cold_start_units / core.overload_window.max(0.01)
             * (up + (1.0 / first - 1.0) * up * up / (2.0 * cold_for.max(0.01)))
     };
     for event in events {
--- a/crates/fleet/src/explore.rs
+++ b/crates/fleet/src/explore.rs
@@ -9,15 +9,15 @@
 use std::rc::Rc;
 
 use nanorand::{Rng, WyRand};
-use quaypath::store::Store;
-use quaypath::types::{Account, Need};
+use quaypath::token_bucket::TokenBucket;
+use quaypath::types::{LimitBalance, LimitId};
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::lend::{gone, Ledger, Lend, Safeguard, DRIFT, LENGTH};
 use crate::signal::Part;
 use crate::MemberId;
 
-const ACCOUNT: Account = Account(7);
+const ACCOUNT: LimitId = LimitId(7);
 /// Each initiator's even part, units.
 const CAP: f64 = 4.0;
 /// Time goes on by this part of a loan's length at once.
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug)]
 struct Process {
     lend: Lend,
-    store: Store,
+    store: TokenBucket,
     life: u32,
     wants: f64,
 }
@@ -105,29 +105,29 @@
 }
 
 struct Books<'a> {
-    store: &'a mut Store,
+    store: &'a mut TokenBucket,
     wants: f64,
     rate: f64,
 }
 
 impl Ledger for Books<'_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
         self.need(now, ACCOUNT).into_iter().collect()
     }
-    fn need(&mut self, now: f64, _: Account) -> Option<Need> {
-        self.store.fill(now, self.rate, CAP);
+    fn need(&mut self, now: f64, _: LimitId) -> Option<LimitBalance> {
+        self.store.refill(now, self.rate, CAP);
         let spare = if self.wants > 0.0 { 0.0 } else { self.store.level };
-        Some(Need { account: ACCOUNT, spare, wants: self.wants })
+        Some(LimitBalance { limit_id: ACCOUNT, spare, shortfall: self.wants })
     }
-    fn moved(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
-        self.store.fill(now, self.rate, CAP);
-        self.store.shift(units, until)
+    fn moved(&mut self, now: f64, _: LimitId, units: f64, until: f64) -> bool {
+        self.store.refill(now, self.rate, CAP);
+        self.store.transfer(units, until)
     }
 }
 
 impl Process {
     /// One that has just started, and knows who else shares the account.
-    fn start(bounds: &Bounds, me: MemberId, now: f64, life: u32, mut store: Store) -> Process {
+    fn start(bounds: &Bounds, me: MemberId, now: f64, life: u32, mut store: TokenBucket) -> Process {
         let members: Vec<MemberId> = (0..bounds.initiators as u16).map(MemberId).collect();
         let mut lend = Lend::new(me, members.clone(), bounds.without);
         lend.look(now, &mut Books { store: &mut store, wants: 0.0, rate: bounds.rate }, &mut Vec::new());
@@ -141,7 +141,7 @@
 impl World {
     fn start(bounds: &Bounds) -> World {
         let members: Vec<MemberId> = (0..bounds.initiators as u16).map(MemberId).collect();
-        let store = Store { level: CAP, ..Store::default() };
+        let store = TokenBucket { level: CAP, ..TokenBucket::default() };
         let processes = members.iter().map(|me| Process::start(bounds, *me, 0.0, 1, store.clone()));
         World {
             processes: processes.collect(),
@@ -237,7 +237,7 @@
                 self.restarts += 1;
                 let now = self.clock(bounds, at);
                 let hold = if bounds.without == Some(Safeguard::Hold) { 0.0 } else { gone() };
-                let store = Store { filled_at: now + hold, ..Store::default() };
+                let store = TokenBucket { filled_at: now + hold, ..TokenBucket::default() };
                 let life = self.processes[at].life + 1;
                 self.processes[at] = Process::start(bounds, MemberId(at as u16), now, life, store);
             }
@@ -245,7 +245,7 @@
                 self.spends += 1;
                 let now = self.clock(bounds, at);
                 let store = &mut self.processes[at].store;
-                store.fill(now, bounds.rate, CAP);
+                store.refill(now, bounds.rate, CAP);
                 self.spent += std::mem::take(&mut store.level);
             }
         }
@@ -257,7 +257,7 @@
         let clocks: Vec<f64> = (0..self.processes.len()).map(|at| self.clock(bounds, at)).collect();
         let levels = self.processes.iter().zip(clocks).map(|(process, now)| {
             let mut store = process.store.clone();
-            store.fill(now, bounds.rate, CAP);
+            store.refill(now, bounds.rate, CAP);
             store.level
         });
         let levels: Vec<f64> = levels.collect();
@@ -271,7 +271,7 @@
         let mut bytes = std::mem::take(&mut self.bytes);
         for process in &self.processes {
             process.lend.state(&mut bytes);
-            process.store.state(&mut bytes);
+            process.store.encode_state(&mut bytes);
             bytes.extend(process.life.to_le_bytes());
             bytes.extend(process.wants.to_bits().to_le_bytes());
         }
--- a/crates/fleet/src/lend.rs
+++ b/crates/fleet/src/lend.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quaypath::types::{Account, Need};
+use quaypath::types::{LimitBalance, LimitId};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::duty::foremost;
@@ -102,13 +102,13 @@
 /// The stores that units are moved between: the decision core's, or those of an explorer or a test.
 pub trait Ledger {
     /// Accounts that are shared with others, and what each can do without or waits for.
-    fn needs(&mut self, now: f64) -> Vec<Need>;
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance>;
     /// One of them, if it is here.
-    fn need(&mut self, now: f64, account: Account) -> Option<Need> {
-        self.needs(now).into_iter().find(|need| need.account == account)
+    fn need(&mut self, now: f64, account: LimitId) -> Option<LimitBalance> {
+        self.needs(now).into_iter().find(|need| need.limit_id == account)
     }
     /// Units come or go, and count up to `until`; false, and nothing done, where they are not there.
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool;
+    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool;
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -122,7 +122,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct Loan {
-    account: Account,
+    account: LimitId,
     with: MemberId,
     number: u32,
     /// The other's life.
@@ -163,8 +163,8 @@
     /// Members that are held dead: nobody asks them, and others know the sharers in their place.
     dead: BTreeSet<MemberId>,
     number: u32,
-    mine: BTreeMap<Account, Mine>,
-    sharers: BTreeMap<Account, BTreeMap<MemberId, f64>>,
+    mine: BTreeMap<LimitId, Mine>,
+    sharers: BTreeMap<LimitId, BTreeMap<MemberId, f64>>,
     given: Vec<Loan>,
     taken: Vec<Loan>,
     pub counts: LendCounts,
@@ -239,7 +239,7 @@
     }
 
     /// Who knows the sharers of an account: the same for all that hold the same members live.
-    fn knowers(&self, account: Account) -> Vec<MemberId> {
+    fn knowers(&self, account: LimitId) -> Vec<MemberId> {
         let claim = |member: &MemberId| {
             let mut bytes = [0; 10];
             bytes[..8].copy_from_slice(&account.0.to_le_bytes());
@@ -250,7 +250,7 @@
     }
 
     /// Remembers a sharer; whether it is new.
-    pub fn shares(&mut self, now: f64, account: Account, member: MemberId) -> bool {
+    pub fn shares(&mut self, now: f64, account: LimitId, member: MemberId) -> bool {
         if !self.sharers.contains_key(&account) && self.sharers.len() >= MOST_ACCOUNTS {
             return false;
         }
@@ -283,7 +283,7 @@
     pub fn look(&mut self, now: f64, ledger: &mut impl Ledger, out: Out) {
         self.forget(now);
         for need in ledger.needs(now).into_iter().take(MOST_ACCOUNTS) {
-            let account = need.account;
+            let account = need.limit_id;
             let fresh = Mine {
                 said_at: f64::NEG_INFINITY,
                 needed_at: now,
@@ -302,7 +302,7 @@
                     }
                 }
             }
-            if need.wants >= LEAST {
+            if need.shortfall >= LEAST {
                 self.ask(now, &need, out);
             } else if now - self.mine[&account].needed_at >= IDLE {
                 self.give_back(now, &need, ledger, out);
@@ -310,16 +310,16 @@
         }
     }
 
-    fn ask(&mut self, now: f64, need: &Need, out: Out) {
-        let others: Vec<MemberId> = self.sharers.get(&need.account).map_or_else(Vec::new, |known| {
+    fn ask(&mut self, now: f64, need: &LimitBalance, out: Out) {
+        let others: Vec<MemberId> = self.sharers.get(&need.limit_id).map_or_else(Vec::new, |known| {
             known.keys().copied().filter(|one| *one != self.me && !self.dead.contains(one)).collect()
         });
-        let Some(mine) = self.mine.get_mut(&need.account) else { return };
+        let Some(mine) = self.mine.get_mut(&need.limit_id) else { return };
         mine.needed_at = now;
         // What is asked of several adds up to the need, in whole units: what comes in pieces too small to be used is
         // gone for all of its time. The next look asks others, from the one behind the last on, for the rest.
-        let count = (need.wants.ceil() as usize).clamp(1, others.len().max(1));
-        let units = (need.wants / count as f64).max(LEAST);
+        let count = (need.shortfall.ceil() as usize).clamp(1, others.len().max(1));
+        let units = (need.shortfall / count as f64).max(LEAST);
         let from = others.iter().position(|member| *member > mine.last).unwrap_or(0);
         let (mut left, turn) = (count, others[from..].iter().chain(&others[..from]).copied());
         for member in turn {
@@ -335,17 +335,17 @@
             self.number = self.number.wrapping_add(1);
             mine.asked.insert(member, Ask { number: self.number, at: now, units, wait });
             self.counts.asked += 1;
-            out.push((member, Part::Ask { account: need.account, number: self.number, units }));
+            out.push((member, Part::Ask { account: need.limit_id, number: self.number, units }));
         }
     }
 
-    fn give_back(&mut self, now: f64, need: &Need, ledger: &mut impl Ledger, out: Out) {
+    fn give_back(&mut self, now: f64, need: &LimitBalance, ledger: &mut impl Ledger, out: Out) {
         let mut spare = need.spare;
         for at in 0..self.taken.len() {
             let Loan { account, with, number, life, units, until } = self.taken[at].clone();
             let units = (units.min(spare) * STEPS).floor() / STEPS;
             // A loan without an end is kept for good.
-            if account != need.account || units < LEAST || now >= until || until.is_infinite() {
+            if account != need.limit_id || units < LEAST || now >= until || until.is_infinite() {
                 continue;
             }
             if ledger.moved(now, account, -units, until) {
@@ -357,7 +357,7 @@
         }
     }
 
-    fn here(&mut self, now: f64, from: MemberId, account: Account, out: Out) {
+    fn here(&mut self, now: f64, from: MemberId, account: LimitId, out: Out) {
         let new = self.shares(now, account, from);
         let Some(known) = self.sharers.get(&account) else { return };
         let mut others: Vec<(f64, MemberId)> =
@@ -406,7 +406,7 @@
 
     #[allow(clippy::too_many_arguments)] // fields of a message come as plain arguments
     fn asked(
-        &mut self, now: f64, from: MemberId, life: u32, account: Account, number: u32, units: f64,
+        &mut self, now: f64, from: MemberId, life: u32, account: LimitId, number: u32, units: f64,
         ledger: &mut impl Ledger, out: Out,
     ) {
         let Some(need) = ledger.need(now, account) else { return };
@@ -446,7 +446,7 @@
 
     #[allow(clippy::too_many_arguments)]
     fn granted(
-        &mut self, now: f64, (from, their_life): (MemberId, u32), account: Account, number: u32, ours: bool,
+        &mut self, now: f64, (from, their_life): (MemberId, u32), account: LimitId, number: u32, ours: bool,
         units: f64, ledger: &mut impl Ledger,
     ) {
         let (any_life, any_time) = (self.lacks(Safeguard::Life), self.lacks(Safeguard::FromAsking));
@@ -475,7 +475,7 @@
 
     #[allow(clippy::too_many_arguments)]
     fn came_back(
-        &mut self, now: f64, from: MemberId, account: Account, number: u32, ours: bool, units: f64,
+        &mut self, now: f64, from: MemberId, account: LimitId, number: u32, ours: bool, units: f64,
         ledger: &mut impl Ledger,
     ) {
         let once = !self.lacks(Safeguard::Back);
--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use nanorand::{Rng, WyRand};
-use quaypath::types::{Account, BlockId, Need};
+use quaypath::types::{BlockId, LimitBalance, LimitId};
 
 use crate::fields::{Fields, Short};
 use crate::lend::{Ledger, Lend, LendCounts, Safeguard, LOOK, MOST_TOLD};
@@ -61,22 +61,22 @@
 pub enum Part {
     News(Vec<News>),
     /// I share this account.
-    Here(Account),
+    Here(LimitId),
     /// So do these.
-    Sharers(Account, Vec<MemberId>),
+    Sharers(LimitId, Vec<MemberId>),
     Ask {
-        account: Account,
+        account: LimitId,
         number: u32,
         units: f64,
     },
     Grant {
-        account: Account,
+        account: LimitId,
         number: u32,
         life: u32,
         units: f64,
     },
     Back {
-        account: Account,
+        account: LimitId,
         number: u32,
         life: u32,
         units: f64,
@@ -104,8 +104,8 @@
 }
 
 impl Fields<'_> {
-    fn account(&mut self) -> Result<Account, Wrong> {
-        Ok(Account(self.u64()?))
+    fn account(&mut self) -> Result<LimitId, Wrong> {
+        Ok(LimitId(self.u64()?))
     }
 
     /// Units, finite and not below zero.
@@ -244,14 +244,14 @@
 struct Shouting<'a, H>(&'a mut H);
 
 impl<H: Host> Ledger for Shouting<'_, H> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
         let all = self.0.needs(now).into_iter();
-        all.map(|need| Need { spare: 0.0, wants: 1e6, ..need }).collect()
+        all.map(|need| LimitBalance { spare: 0.0, shortfall: 1e6, ..need }).collect()
     }
-    fn need(&mut self, _now: f64, _account: Account) -> Option<Need> {
+    fn need(&mut self, _now: f64, _account: LimitId) -> Option<LimitBalance> {
         None
     }
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
+    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
         self.0.moved(now, account, units, until)
     }
 }
--- a/crates/fleet/tests/lending.rs
+++ b/crates/fleet/tests/lending.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use proptest::prelude::*;
-use quaypath::store::Store;
-use quaypath::types::{Account, BlockId, Need};
+use quaypath::token_bucket::TokenBucket;
+use quaypath::types::{BlockId, LimitBalance, LimitId};
 use quaypath_fleet::explore::{explore, replay, walk, Bounds};
 use quaypath_fleet::lend::{gone, Ledger, Safeguard, LENGTH};
 use quaypath_fleet::signal::{Figures, Host, Manner, News, Part, Signal, Signals, Wrong, LONGEST};
@@ -104,7 +104,7 @@
 
     #[test]
     fn what_is_encoded_decodes_to_itself(life: u32, number: u32, account: u64, ask: u32, units in 0u16.., stay in 0u8.., answers in 1u8.., age in 0u8.., members in prop::collection::vec(0u16.., 0..16)) {
-        let (account, units) = (Account(account), f64::from(units) / 64.0);
+        let (account, units) = (LimitId(account), f64::from(units) / 64.0);
         let news = News { block: BlockId(7), stay: f64::from(stay) / 100.0, answers: f64::from(answers), age: f64::from(age) / 50.0 };
         let parts = vec![
             Part::News(vec![news; 3]), Part::Here(account),
@@ -129,11 +129,11 @@
     assert_eq!(Signal::decode(bytes), Err(wrong));
 }
 
-const ACCOUNT: Account = Account(42);
+const ACCOUNT: LimitId = LimitId(42);
 
 /// An initiator around its signals: one account, filled at a rate up to a cap.
 struct One {
-    store: Store,
+    store: TokenBucket,
     rate: f64,
     cap: f64,
     wants: f64,
@@ -143,17 +143,21 @@
 }
 
 impl Ledger for One {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
         self.need(now, ACCOUNT).into_iter().collect()
     }
-    fn need(&mut self, now: f64, account: Account) -> Option<Need> {
-        self.store.fill(now, self.rate, self.cap);
+    fn need(&mut self, now: f64, account: LimitId) -> Option<LimitBalance> {
+        self.store.refill(now, self.rate, self.cap);
         let over = self.store.level - self.wants;
-        (account == ACCOUNT).then_some(Need { account, spare: over.max(0.0), wants: (-over).max(0.0) })
+        (account == ACCOUNT).then_some(LimitBalance {
+            limit_id: account,
+            spare: over.max(0.0),
+            shortfall: (-over).max(0.0),
+        })
     }
-    fn moved(&mut self, now: f64, _: Account, units: f64, until: f64) -> bool {
-        self.store.fill(now, self.rate, self.cap);
-        self.store.shift(units, until)
+    fn moved(&mut self, now: f64, _: LimitId, units: f64, until: f64) -> bool {
+        self.store.refill(now, self.rate, self.cap);
+        self.store.transfer(units, until)
     }
 }
 
@@ -192,7 +196,7 @@
 impl Group {
     fn of(members: u16, without: Option<Safeguard>) -> Group {
         let one = |me| {
-            let store = Store { level: 4.0, ..Store::default() };
+            let store = TokenBucket { level: 4.0, ..TokenBucket::default() };
             let one = One {
                 store,
                 rate: 4.0,
@@ -241,7 +245,7 @@
                 if self.now >= signals.next_at() {
                     signals.tick(self.now, one);
                 }
-                one.store.fill(self.now, one.rate, one.cap);
+                one.store.refill(self.now, one.rate, one.cap);
                 if one.wants > 0.0 {
                     one.spent += std::mem::take(&mut one.store.level);
                 }
--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use quaypath::brain::Brain;
+use quaypath::scheduler::Scheduler;
 use quaypath::types::*;
 use quaypath_settings::Deployment;
 use tracing::info;
@@ -43,7 +43,7 @@
     fn subscribe(&mut self, on: bool) {
         self.0.push_back(Action::Call(Call::Watch { on }));
     }
-    fn fetch_list(&mut self) {
+    fn fetch_node_list(&mut self) {
         self.0.push_back(Action::Call(Call::Fetch));
     }
     fn probe(&mut self, _node: &NodeId) {
@@ -52,10 +52,10 @@
     fn close(&mut self, node: &NodeId) {
         self.0.push_back(Action::Close(node.clone()));
     }
-    fn tell(&mut self, _initiator: Option<u64>, _payload: &[u8]) {
+    fn send_to_peer(&mut self, _initiator: Option<u64>, _payload: &[u8]) {
         self.0.push_back(Action::Unused("tell"));
     }
-    fn seen(&mut self, block: BlockId, stay: f64) {
+    fn latency_observed(&mut self, block: BlockId, stay: f64) {
         self.1.iter_mut().for_each(|seen| seen.push((block, stay)));
     }
     fn log(&mut self, text: &str) {
@@ -63,9 +63,9 @@
     }
 }
 
-/// The events of the core, one method each; shapes and units are those of [`Brain`].
+/// The events of the core, one method each; shapes and units are those of [`Scheduler`].
 pub trait Core {
-    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[Known], out: &mut Actions);
+    fn list_known(&mut self, now: f64, scope: ListKind, entries: &[Known], out: &mut Actions);
     #[allow(clippy::too_many_arguments)] // events come as plain arguments, as in the core
     fn taken(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
@@ -82,11 +82,11 @@
     /// Volumes and ordered keys held.
     fn accounts(&self) -> (usize, usize);
     /// Accounts that are shared with other initiators; none where the core knows of none.
-    fn needs(&mut self, _now: f64) -> Vec<Need> {
+    fn needs(&mut self, _now: f64) -> Vec<LimitBalance> {
         Vec::new()
     }
     /// What other initiators had to say; whether units were there to move.
-    fn shared(&mut self, _now: f64, _shared: Shared, _out: &mut Actions) -> bool {
+    fn shared(&mut self, _now: f64, _shared: PeerReport, _out: &mut Actions) -> bool {
         false
     }
 }
@@ -101,40 +101,42 @@
 
 /// The decision core where its settings come from elsewhere than a deployment file.
 pub fn of_settings(now: f64, seed: u64, settings: Settings, out: &mut Actions) -> Box<dyn Core> {
-    Box::new(Brain::start(now, seed, settings, out))
+    Box::new(Scheduler::start(now, seed, settings, out))
 }
 
-impl Core for Brain {
-    fn list_known(&mut self, now: f64, scope: ListScope, entries: &[Known], out: &mut Actions) {
-        Brain::list_known(self, now, scope, entries, out);
+impl Core for Scheduler {
+    fn list_known(&mut self, now: f64, scope: ListKind, entries: &[Known], out: &mut Actions) {
+        Scheduler::node_list_received(self, now, scope, entries, out);
     }
     fn taken(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
         out: &mut Actions,
     ) {
-        Brain::taken(self, now, id, initiators, plan, band, extent, budget, units, volume, block, out);
+        Scheduler::transaction_received(
+            self, now, id, initiators, plan, band, extent, budget, units, volume, block, out,
+        );
     }
     fn returned(
         &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, used: f64, delay: f64, last: bool,
         outcome: Outcome, others: f64, report: &[f64], out: &mut Actions,
     ) {
-        Brain::returned(self, now, id, node, shot, used, delay, last, outcome, others, report, out);
+        Scheduler::shot_completed(self, now, id, node, shot, used, delay, last, outcome, others, report, out);
     }
     fn lapsed(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
-        Brain::lapsed(self, now, id, out);
+        Scheduler::client_cancelled(self, now, id, out);
     }
     fn rang(&mut self, now: f64, tag: u64, out: &mut Actions) {
-        Brain::rang(self, now, tag, out);
+        Scheduler::timer_fired(self, now, tag, out);
     }
     fn accounts(&self) -> (usize, usize) {
-        Brain::accounts(self)
+        Scheduler::tracked_counts(self)
     }
-    fn needs(&mut self, now: f64) -> Vec<Need> {
-        Brain::needs(self, now)
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
+        Scheduler::limit_balances(self, now)
     }
-    fn shared(&mut self, now: f64, shared: Shared, out: &mut Actions) -> bool {
-        Brain::shared(self, now, shared, out)
+    fn shared(&mut self, now: f64, shared: PeerReport, out: &mut Actions) -> bool {
+        Scheduler::peer_report_received(self, now, shared, out)
     }
 }
 
@@ -150,14 +152,14 @@
 
 pub fn careless(_now: f64, _seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
     let set = &deployment.core;
-    if set.must_ask {
+    if set.must_subscribe {
         out.subscribe(true);
     }
     Box::new(Careless {
         nodes: BTreeMap::new(),
-        most_shots: set.most_shots,
+        most_shots: set.max_shots,
         due: set.bands.iter().map(|band| band.due).collect(),
-        must_ask: set.must_ask,
+        must_ask: set.must_subscribe,
         open: BTreeMap::new(),
     })
 }
@@ -180,12 +182,12 @@
 }
 
 impl Core for Careless {
-    fn list_known(&mut self, _now: f64, scope: ListScope, entries: &[Known], out: &mut Actions) {
-        if scope == ListScope::Failed && self.must_ask {
+    fn list_known(&mut self, _now: f64, scope: ListKind, entries: &[Known], out: &mut Actions) {
+        if scope == ListKind::FetchFailed && self.must_ask {
             out.set_timer(1.0, 0);
         }
         for (node, block, condition, ..) in entries {
-            if *condition == Condition::Ready {
+            if *condition == NodeCondition::Ready {
                 self.nodes.insert(*block, node.clone());
             }
         }
--- a/crates/initiator/src/face.rs
+++ b/crates/initiator/src/face.rs
@@ -29,6 +29,6 @@
         vec![(1, quaypath_nvme::admin::ana::OPTIMIZED, self.deployment.volumes.keys().copied().collect())]
     }
     fn retry_delays(&self) -> [f64; 3] {
-        [self.deployment.core.longest_return, 0.0, 0.0]
+        [self.deployment.core.max_retry_after, 0.0, 0.0]
     }
 }
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -60,7 +60,7 @@
 
 /// What happens to the core, in order.
 enum Happened {
-    List(ListScope, Vec<Known>),
+    List(ListKind, Vec<Known>),
     Taken(u64),
     /// Transaction, shot, what ended it, and what the answer told.
     Back(u64, u32, Ended, Told),
@@ -284,7 +284,7 @@
             deployment,
             core,
             actions,
-            events: VecDeque::from([Happened::List(ListScope::Cached, known)]),
+            events: VecDeque::from([Happened::List(ListKind::Cached, known)]),
             clock,
             now,
             beat_at: now,
@@ -577,30 +577,30 @@
         let known = self.list.take(self.now, news);
         self.keeper.keep(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
-        self.events.push_back(Happened::List(ListScope::Whole, known));
+        self.events.push_back(Happened::List(ListKind::Complete, known));
     }
 
     /// Parts of the data and the ready node of each, by the list as it is held.
     pub fn holders(&self) -> BTreeMap<BlockId, NodeId> {
         let ready =
-            self.list.known().into_iter().filter(|(_, _, condition, ..)| *condition == Condition::Ready);
+            self.list.known().into_iter().filter(|(_, _, condition, ..)| *condition == NodeCondition::Ready);
         ready.map(|(node, block, ..)| (block, node)).collect()
     }
 
     /// A call failed or the connection to the register went while one may stand.
     pub fn call_failed(&mut self) {
         if self.deployment.register.mode == Mode::Asked {
-            self.events.push_back(Happened::List(ListScope::Failed, Vec::new()));
+            self.events.push_back(Happened::List(ListKind::FetchFailed, Vec::new()));
         }
     }
 
     /// From here on nothing new leaves for nodes that drain or are gone: what waits in our own queues is taken
     /// back at once, and what the kernel still holds when the grace ends is reset.
-    fn shut(&mut self, known: &[Known], scope: ListScope) {
+    fn shut(&mut self, known: &[Known], scope: ListKind) {
         let mut shut: Vec<NodeId> = Vec::new();
         for (node, _, condition, started, _) in known {
             match condition {
-                Condition::Ready => {
+                NodeCondition::Ready => {
                     let Some(of) = self.nodes.get_mut(node) else { continue };
                     of.shut_since = None;
                     let anew = of.started.replace(*started).is_some_and(|before| before != *started);
@@ -612,7 +612,7 @@
                 _ => shut.push(node.clone()),
             }
         }
-        if matches!(scope, ListScope::Whole) {
+        if matches!(scope, ListKind::Complete) {
             let listed = |node: &NodeId| known.iter().any(|(listed, ..)| listed == node);
             shut.extend(self.nodes.keys().filter(|node| !listed(node)).cloned());
         }
@@ -790,7 +790,7 @@
         let held = front.asked + read + front.machine.out.len() > MOST_HELD;
         if held || self.open.len() >= deployment.listen.open {
             self.counts.turned_away += 1;
-            let back = (deployment.core.longest_return * 1e3) as u32;
+            let back = (deployment.core.max_retry_after * 1e3) as u32;
             return self.respond(connection, sqe.cid, status::INTERRUPTED | status::CRD1, back, &[]);
         }
         let longest = deployment.outer[band];
--- a/crates/initiator/src/list.rs
+++ b/crates/initiator/src/list.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::Path;
 
-use quaypath::types::{BlockId, Condition, NodeId};
+use quaypath::types::{BlockId, NodeCondition, NodeId};
 use serde::{Deserialize, Serialize};
 
 /// Most nodes of one list.
@@ -25,7 +25,7 @@
     pub zone: String,
     /// Part of the data that it holds.
     pub block: i64,
-    pub condition: Condition,
+    pub condition: NodeCondition,
     /// Seconds since it last started; absent where it started long ago. An age, as clocks of two machines differ.
     pub age: Option<f64>,
     /// Changes with every start.
@@ -40,7 +40,7 @@
 }
 
 /// An entry as the core takes it. The register tells no sizes.
-pub type Known = quaypath::types::Listed;
+pub type Known = quaypath::types::ListedNode;
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Row {
@@ -94,15 +94,15 @@
             let row = Row {
                 node: entry.node.clone(),
                 block: entry.block,
-                ready: condition == Condition::Ready,
+                ready: condition == NodeCondition::Ready,
                 started,
                 start: entry.start,
             };
             told.push((NodeId(row.node.as_str().into()), BlockId(row.block), condition, started, 0.0));
             match (at, condition) {
-                (Some(at), Condition::Gone) => drop(self.rows.remove(at)),
+                (Some(at), NodeCondition::Removed) => drop(self.rows.remove(at)),
                 (Some(at), _) => self.rows[at] = row,
-                (None, Condition::Gone) => {}
+                (None, NodeCondition::Removed) => {}
                 (None, _) => self.rows.push(row),
             }
         }
@@ -112,7 +112,7 @@
 
 impl Row {
     fn known(&self) -> Known {
-        let condition = if self.ready { Condition::Ready } else { Condition::Draining };
+        let condition = if self.ready { NodeCondition::Ready } else { NodeCondition::Draining };
         (NodeId(self.node.as_str().into()), BlockId(self.block), condition, self.started, 0.0)
     }
 }
@@ -121,7 +121,7 @@
 mod tests {
     use super::*;
 
-    fn entry(node: &str, condition: Condition, age: f64, start: u64) -> Entry {
+    fn entry(node: &str, condition: NodeCondition, age: f64, start: u64) -> Entry {
         let (node, zone) = (node.into(), "a".into());
         Entry { node, zone, block: 1, condition, age: Some(age), start }
     }
@@ -134,9 +134,9 @@
     #[test]
     fn a_start_keeps_its_time_and_a_new_start_has_a_new_one() {
         let mut list = List::default();
-        let first = list.take(100.0, &news(vec![entry("n", Condition::Ready, 5.0, 1)]));
-        let again = list.take(110.0, &news(vec![entry("n", Condition::Ready, 15.3, 1)]));
-        let new = list.take(120.0, &news(vec![entry("n", Condition::Ready, 0.5, 2)]));
+        let first = list.take(100.0, &news(vec![entry("n", NodeCondition::Ready, 5.0, 1)]));
+        let again = list.take(110.0, &news(vec![entry("n", NodeCondition::Ready, 15.3, 1)]));
+        let new = list.take(120.0, &news(vec![entry("n", NodeCondition::Ready, 0.5, 2)]));
         assert_eq!((first[0].3, again[0].3, new[0].3), (95.0, 95.0, 119.5));
     }
 
@@ -144,9 +144,10 @@
     fn what_is_kept_on_disk_is_what_was_known_and_a_torn_file_is_none() {
         let path = std::env::temp_dir().join(format!("quaypath-list-{}", std::process::id()));
         let mut list = List::default();
-        let listed = vec![entry("n", Condition::Ready, 5.0, 1), entry("m", Condition::Draining, 1.0, 1)];
+        let listed =
+            vec![entry("n", NodeCondition::Ready, 5.0, 1), entry("m", NodeCondition::Draining, 1.0, 1)];
         list.take(50.0, &news(listed.clone()));
-        list.take(51.0, &news([listed, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
+        list.take(51.0, &news([listed, vec![entry("gone", NodeCondition::Removed, 1.0, 1)]].concat()));
         assert_eq!(list.known().len(), 2);
         quaypath_record::apart::replace(&path, &list.bytes()).unwrap();
         assert_eq!(List::load(&path).0.known(), list.known());
--- a/crates/initiator/src/outcome.rs
+++ b/crates/initiator/src/outcome.rs
@@ -50,11 +50,11 @@
     match ended {
         Ended::Answered(status) => answered(status),
         // No byte left: the time was up before it was sent.
-        Ended::TimeUp if !progress.may_have_run() => Outcome::Moot,
+        Ended::TimeUp if !progress.may_have_run() => Outcome::Abandoned,
         // The node may run it yet, or has and the answer is late.
         Ended::TimeUp => Outcome::TimedOut,
         // Withdrawn from our own queue.
-        Ended::CalledOff if !progress.may_have_run() => Outcome::Moot,
+        Ended::CalledOff if !progress.may_have_run() => Outcome::Abandoned,
         // Abort is a request: the node may have run it before, or run it all the same.
         Ended::CalledOff => Outcome::Cancelled,
         // No connection, or one that ended before the first byte: down, unreachable or out of connections.
@@ -71,10 +71,10 @@
         // A Compare that ran and found a difference: its answer, not a failure.
         status::COMPARE_FAILURE => Outcome::Settled,
         // Our targets' word for turned away unseen; a vendor's code, so no other target says it by chance.
-        status::FULL | status::DRAINING => Outcome::Full,
+        status::FULL | status::DRAINING => Outcome::QueueFull,
         // Command Interrupted and Namespace Not Ready promise by the Base Specification that nothing was done
         // and that a repeat may succeed.
-        status::INTERRUPTED | status::NAMESPACE_NOT_READY => Outcome::Full,
+        status::INTERRUPTED | status::NAMESPACE_NOT_READY => Outcome::QueueFull,
         // Aborted by our own request, or since its queue went: it may have been under way.
         status::ABORTED_BY_REQUEST | status::ABORTED_QUEUE_DELETED => Outcome::Cancelled,
         // Everything else, refusals of a field among them: a plain target need not check before it begins, and a
@@ -93,17 +93,17 @@
     #[test_case(Ended::Lost, Queued, Outcome::Unreachable; "reset before the first byte")]
     #[test_case(Ended::Lost, Leaving, Outcome::Reset; "partly written")]
     #[test_case(Ended::Lost, Out, Outcome::Reset; "written and reset")]
-    #[test_case(Ended::TimeUp, Queued, Outcome::Moot; "time up in our own queue")]
+    #[test_case(Ended::TimeUp, Queued, Outcome::Abandoned; "time up in our own queue")]
     #[test_case(Ended::TimeUp, Leaving, Outcome::TimedOut; "time up half way")]
     #[test_case(Ended::TimeUp, Out, Outcome::TimedOut; "time up")]
-    #[test_case(Ended::CalledOff, Opening, Outcome::Moot; "called off unsent")]
+    #[test_case(Ended::CalledOff, Opening, Outcome::Abandoned; "called off unsent")]
     #[test_case(Ended::CalledOff, Out, Outcome::Cancelled; "called off")]
     #[test_case(Ended::Answered(status::SUCCESS), Out, Outcome::Settled; "settled")]
     #[test_case(Ended::Answered(status::COMPARE_FAILURE), Out, Outcome::Settled; "a comparison that found a difference")]
     #[test_case(Ended::Answered(status::TRANSPORT_ERROR), Out, Outcome::Failed; "data spoilt on the way")]
-    #[test_case(Ended::Answered(status::FULL), Out, Outcome::Full; "full")]
-    #[test_case(Ended::Answered(status::DRAINING | status::CRD1), Out, Outcome::Full; "draining, with a delay")]
-    #[test_case(Ended::Answered(status::INTERRUPTED), Out, Outcome::Full; "interrupted")]
+    #[test_case(Ended::Answered(status::FULL), Out, Outcome::QueueFull; "full")]
+    #[test_case(Ended::Answered(status::DRAINING | status::CRD1), Out, Outcome::QueueFull; "draining, with a delay")]
+    #[test_case(Ended::Answered(status::INTERRUPTED), Out, Outcome::QueueFull; "interrupted")]
     #[test_case(Ended::Answered(status::ABORTED_BY_REQUEST), Out, Outcome::Cancelled; "aborted")]
     #[test_case(Ended::Answered(status::INTERNAL_ERROR), Out, Outcome::Failed; "internal error")]
     #[test_case(Ended::Answered(status::INVALID_FIELD | status::DNR), Out, Outcome::Failed; "invalid field")]
--- a/crates/initiator/src/register.rs
+++ b/crates/initiator/src/register.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use quaypath::types::Condition;
+use quaypath::types::NodeCondition;
 use quaypath_nvme::admin::{
     self, access_groups, ana, discovery_header, discovery_record, get_log, log, plain,
 };
@@ -203,9 +203,9 @@
                 discovery_record(&whole, at).ok_or_else(|| broken("has a record that is not of TCP"))?;
             let group = groups.iter().find(|(id, ..)| *id == u32::from(record.port) + 1);
             let condition = match group.map(|(_, state, _)| *state) {
-                Some(ana::OPTIMIZED) => Condition::Ready,
-                Some(ana::PERSISTENT_LOSS) => Condition::Gone,
-                _ => Condition::Draining,
+                Some(ana::OPTIMIZED) => NodeCondition::Ready,
+                Some(ana::PERSISTENT_LOSS) => NodeCondition::Removed,
+                _ => NodeCondition::Draining,
             };
             entries.push(Entry {
                 node: format!("{}:{}", record.address, record.service),
--- a/crates/initiator/src/shares.rs
+++ b/crates/initiator/src/shares.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use quaypath::types::{Account, Need, Shared};
+use quaypath::types::{LimitBalance, LimitId, PeerReport};
 use quaypath_fleet::lend::Ledger;
 use quaypath_fleet::signal::{Host, News, Signals};
 use quaypath_fleet::MemberId;
@@ -60,11 +60,11 @@
 }
 
 impl Ledger for Books<'_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
         self.core.needs(now)
     }
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
-        self.core.shared(now, Shared::Units(account, units, until), self.actions)
+    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
+        self.core.shared(now, PeerReport::Units(account, units, until), self.actions)
     }
 }
 
@@ -76,6 +76,6 @@
     }
     fn news(&mut self, now: f64, news: &News) {
         let News { block, stay, answers, age } = *news;
-        self.core.shared(now, Shared::Stay(block, stay, answers, age), self.actions);
+        self.core.shared(now, PeerReport::Latency(block, stay, answers, age), self.actions);
     }
 }
--- a/crates/load/src/benefit.rs
+++ b/crates/load/src/benefit.rs
@@ -40,7 +40,7 @@
             let plan = &deployment.core.plans[volume.plan];
             let share = figures.spare * plan.weight / weights.max(f64::MIN_POSITIVE);
             let limit = if plan.limit > 0.0 { plan.limit } else { f64::INFINITY };
-            (*id, Rates { reserve: plan.reservation, share, limit, factor: plan.factor })
+            (*id, Rates { reserve: plan.reservation, share, limit, factor: plan.benefit_factor })
         });
         Reckoning {
             figures: figures.clone(),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -128,7 +128,9 @@
         let (mut core, names) = pairs::core(&pairs).map_err(setting)?;
         let waits = waits(&pairs, names.bands.len()).map_err(setting)?;
         // A repeat within the window counts by when it arrives: a connection may come up late under it.
-        core.bands.iter_mut().for_each(|band| band.window = (band.window - waits.connect).max(0.0));
+        core.bands
+            .iter_mut()
+            .for_each(|band| band.dedup_window = (band.dedup_window - waits.connect).max(0.0));
         Ok(Config {
             path: path.into(),
             name: word("name", "BALANCER_NAME")?,
--- a/crates/platform/src/idle_reuse.rs
+++ b/crates/platform/src/idle_reuse.rs
@@ -1,6 +1,6 @@
 //! Which connections to nodes may be used again, by how those fared that had rested for as long.
 
-use quaypath::ring::Ring;
+use quaypath::sliding_window::SlidingWindow;
 
 /// How long a connection rests after an answer before it is used again, seconds. A node may answer a second time, some
 /// milliseconds late and more where it is busy, and nothing in an answer tells whose it is: one that comes on a connection
@@ -16,11 +16,11 @@
 const WELL: f64 = 20.0;
 const RESTS: usize = 16;
 /// Idle reuse statistics: how connections fared of late, by how long they had rested before their use.
-pub struct IdleReuse(Vec<Ring>);
+pub struct IdleReuse(Vec<SlidingWindow>);
 
 impl Default for IdleReuse {
     fn default() -> Self {
-        IdleReuse(vec![Ring::new(3.0, 5); RESTS])
+        IdleReuse(vec![SlidingWindow::new(3.0, 5); RESTS])
     }
 }
 
@@ -32,7 +32,7 @@
 
     /// The rest past which a connection is not used, seconds.
     pub fn longest(&mut self, now: f64) -> f64 {
-        let bad = self.0.iter_mut().position(|kind| kind.blend(now, 0.0, WELL) > BADLY);
+        let bad = self.0.iter_mut().position(|kind| kind.mean_with_prior(now, 0.0, WELL) > BADLY);
         bad.map_or(f64::INFINITY, |kind| FIRST_KIND * f64::powi(2.0, kind as i32))
     }
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -98,7 +98,7 @@
 
 /// What happens to the core, in order.
 enum Happened {
-    List(ListScope, Vec<Listed>),
+    List(ListKind, Vec<ListedNode>),
     Taken(u64),
     Back(u64, u32, Outcome, Told),
     Lapsed(u64),
@@ -396,7 +396,7 @@
         this.me = Rc::downgrade(&instance);
         this.timers.set(now + SWEEP, Timer::Sweep);
         let known = std::mem::take(&mut this.config.known);
-        this.listed(&known, ListScope::Cached, false);
+        this.listed(&known, ListKind::Cached, false);
         this.finish_turn();
         info!(name = this.config.name, nodes = this.nodes.len(), "started with the list as it was known");
         drop(this);
@@ -632,11 +632,11 @@
         }
         self.heard |= listing.snapshot;
         self.index = listing.index;
-        self.listed(listing, if listing.snapshot { ListScope::Whole } else { ListScope::Changes }, older);
+        self.listed(listing, if listing.snapshot { ListKind::Complete } else { ListKind::Changes }, older);
         true
     }
 
-    fn listed(&mut self, listing: &Listing, scope: ListScope, older: bool) {
+    fn listed(&mut self, listing: &Listing, scope: ListKind, older: bool) {
         let now = self.now;
         self.gone.retain(|_, (_, at)| now - *at < GONE_KEPT);
         let mut known = Vec::new();
@@ -657,13 +657,13 @@
             }
             let drains = self.nodes.get(&name).filter(|node| node.started >= started);
             let condition = match endpoint.status {
-                Status::InService if older && drains.is_some_and(Node::drains) => Condition::Draining,
-                Status::InService => Condition::Ready,
-                Status::Terminating => Condition::Draining,
-                Status::Terminated => Condition::Gone,
+                Status::InService if older && drains.is_some_and(Node::drains) => NodeCondition::Draining,
+                Status::InService => NodeCondition::Ready,
+                Status::Terminating => NodeCondition::Draining,
+                Status::Terminated => NodeCondition::Removed,
             };
             match condition {
-                Condition::Gone => self.leave(&name),
+                NodeCondition::Removed => self.leave(&name),
                 _ => {
                     self.gone.remove(&name);
                     let fresh = || Node { address, pool: Pool::default(), shut_since: None, started };
@@ -673,11 +673,11 @@
                         node.pool.clear();
                         (node.address, node.started) = (address, started);
                     }
-                    if condition == Condition::Ready {
+                    if condition == NodeCondition::Ready {
                         node.shut_since = None;
                     } else {
                         // Only a change says that it holds from now on; a whole list tells of what may have been for long.
-                        let since = if scope == ListScope::Changes { now } else { f64::NEG_INFINITY };
+                        let since = if scope == ListKind::Changes { now } else { f64::NEG_INFINITY };
                         node.shut_since.get_or_insert(since);
                         node.pool.clear();
                     }
@@ -685,7 +685,7 @@
             }
             known.push((name, BlockId(endpoint.group), condition, started, endpoint.weight));
         }
-        if scope != ListScope::Changes {
+        if scope != ListKind::Changes {
             let listed: BTreeSet<&NodeId> = known.iter().map(|(name, ..)| name).collect();
             let gone: Vec<NodeId> =
                 self.nodes.keys().filter(|name| !listed.contains(name)).cloned().collect();
@@ -825,11 +825,11 @@
     match outcome {
         Outcome::Settled => "settled",
         Outcome::Failed => "failed",
-        Outcome::Full => "full",
+        Outcome::QueueFull => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::Abandoned => "moot",
     }
 }
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -28,7 +28,7 @@
     match ended {
         Ended::Answered(200, _) if whole => Outcome::Settled,
         // Turned away: queue full, draining, too many connections, or over already. By the page it never ran.
-        Ended::Answered(503 | 504, true) => Outcome::Full,
+        Ended::Answered(503 | 504, true) => Outcome::QueueFull,
         // Without that word, and any other status, it may have run. So may what was answered before its end: an
         // answer to half a request is somebody else's.
         Ended::Answered(..) => Outcome::Failed,
@@ -37,10 +37,10 @@
         // Whole: the node may run it yet, or has and the answer is late.
         Ended::TimeUp if whole => Outcome::TimedOut,
         // No node has the whole request, and the connection is closed: as if it had not been sent.
-        Ended::TimeUp => Outcome::Moot,
+        Ended::TimeUp => Outcome::Abandoned,
         // A closed connection does not take back what has arrived.
         Ended::CalledOff if whole => Outcome::Cancelled,
-        Ended::CalledOff => Outcome::Moot,
+        Ended::CalledOff => Outcome::Abandoned,
         // Written whole: the node may have run it and lost the answer with the connection.
         Ended::Lost if whole => Outcome::Reset,
         // Down, unreachable, out of connections, or gone before the last byte.
@@ -58,15 +58,15 @@
     #[test_case(Ended::Answered(200, false), Leaving, Outcome::Failed; "an answer before the request's end")]
     #[test_case(Ended::Answered(500, false), Out, Outcome::Failed; "error")]
     #[test_case(Ended::Answered(500, true), Out, Outcome::Failed; "only 503 and 504 promise that nothing ran")]
-    #[test_case(Ended::Answered(503, true), Out, Outcome::Full; "turned away")]
-    #[test_case(Ended::Answered(504, true), Out, Outcome::Full; "turned away as over")]
+    #[test_case(Ended::Answered(503, true), Out, Outcome::QueueFull; "turned away")]
+    #[test_case(Ended::Answered(504, true), Out, Outcome::QueueFull; "turned away as over")]
     #[test_case(Ended::Answered(503, false), Out, Outcome::Failed; "503 without the word")]
     #[test_case(Ended::Answered(204, false), Out, Outcome::Failed; "a success that is not the page's")]
     #[test_case(Ended::Spoilt, Out, Outcome::Failed; "spoilt")]
-    #[test_case(Ended::TimeUp, Opening, Outcome::Moot; "time up while connecting")]
-    #[test_case(Ended::TimeUp, Leaving, Outcome::Moot; "time up half way")]
+    #[test_case(Ended::TimeUp, Opening, Outcome::Abandoned; "time up while connecting")]
+    #[test_case(Ended::TimeUp, Leaving, Outcome::Abandoned; "time up half way")]
     #[test_case(Ended::TimeUp, Out, Outcome::TimedOut; "time up")]
-    #[test_case(Ended::CalledOff, Queued, Outcome::Moot; "called off unsent")]
+    #[test_case(Ended::CalledOff, Queued, Outcome::Abandoned; "called off unsent")]
     #[test_case(Ended::CalledOff, Out, Outcome::Cancelled; "called off")]
     #[test_case(Ended::Lost, Opening, Outcome::Unreachable; "refused or never up")]
     #[test_case(Ended::Lost, Leaving, Outcome::Unreachable; "broken before the last byte")]
--- a/crates/platform/tests/decode.rs
+++ b/crates/platform/tests/decode.rs
@@ -64,7 +64,7 @@
     value["settings"]["Grades"][0]["Window"] = json!(0.1);
     value["settings"]["Grades"][1]["Window"] = json!(0.75);
     let config = Config::read(&written("window", &value), |_| None).expect("readable");
-    assert_eq!((config.core.bands[0].window, config.core.bands[1].window), (0.0, 0.5));
+    assert_eq!((config.core.bands[0].dedup_window, config.core.bands[1].dedup_window), (0.0, 0.5));
 }
 
 // Guards against what a client made up reaching the core, whose tables would grow with it, or a node.
@@ -161,7 +161,7 @@
     assert_eq!(config.names.bands, ["lookup", "buy"]);
     assert_eq!((config.waits.connect, config.waits.drain_grace, config.waits.blocks), (0.25, 2.0, 4));
     assert_eq!(config.waits.load, ["lat_ms", "util"]);
-    assert!(config.core.tells_others && !config.core.metered && config.core.may_cancel);
+    assert!(config.core.reports_others_usage && !config.core.reports_usage && config.core.may_cancel);
 }
 
 /// The variables stand in where the file is silent, and only there.
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -252,7 +252,7 @@
     };
     let lends = fleet.as_ref().and_then(|fleet| fleet.signals.as_ref()).is_some_and(|signals| signals.lends);
     if lends && arguments.without != Some(Safeguard::Hold) {
-        deployment.core.hold = gone();
+        deployment.core.earlier_loans_hold = gone();
     }
     let options = Options {
         deployment: Rc::new(deployment),
--- a/crates/programs/src/bin/register.rs
+++ b/crates/programs/src/bin/register.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, ValueEnum};
-use quaypath::types::Condition;
+use quaypath::types::NodeCondition;
 use quaypath_programs::{exit, say, Logs};
 use quaypath_record::{Clock, Writer};
 use quaypath_settings::Mode;
@@ -55,9 +55,9 @@
             register.late(seconds.ok_or("late: needs seconds, 0 to 3600")?);
             return Ok(());
         }
-        Some("ready" | "cold") => Condition::Ready,
-        Some("draining") => Condition::Draining,
-        Some("gone") => Condition::Gone,
+        Some("ready" | "cold") => NodeCondition::Ready,
+        Some("draining") => NodeCondition::Draining,
+        Some("gone") => NodeCondition::Removed,
         Some(other) => return Err(format!("'{other}': ready, cold, draining, gone, fails, works or late")),
     };
     let node =
--- a/crates/programs/tests/hard_cases.rs
+++ b/crates/programs/tests/hard_cases.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use helper::*;
-use quaypath::types::Condition::{Draining, Ready};
+use quaypath::types::NodeCondition::{Draining, Ready};
 use quaypath_nvme::command::{Cqe, Sqe};
 use quaypath_nvme::controller::Event as Asked;
 use quaypath_nvme::pdu::{Decoder, Pdu};
--- a/crates/programs/tests/helper/mod.rs
+++ b/crates/programs/tests/helper/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use quaypath::types::Condition;
+use quaypath::types::NodeCondition;
 use quaypath_nvme::admin::{Admin, Do as Reply, Kind, View};
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe, ANY_CONTROLLER};
 use quaypath_nvme::controller::{Controller, Event as Asked};
@@ -158,7 +158,7 @@
         self.child = child;
     }
 
-    pub fn list(&self, node: SocketAddr, block: i64, condition: Condition) {
+    pub fn list(&self, node: SocketAddr, block: i64, condition: NodeCondition) {
         self.register.list(&node.to_string(), "hall-0", block, condition, None, 0.0);
     }
 
@@ -409,7 +409,7 @@
 /// A gateway of this shape with one node listed, and a client of it.
 pub fn one(shape: &Shape, node: SocketAddr) -> (Gateway, Client) {
     let gateway = Gateway::start(shape);
-    gateway.list(node, 0, Condition::Ready);
+    gateway.list(node, 0, NodeCondition::Ready);
     let client = Client::connect(gateway.address);
     (gateway, client)
 }
--- a/crates/programs/tests/path.rs
+++ b/crates/programs/tests/path.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use helper::*;
-use quaypath::types::Condition::{Draining, Gone, Ready};
+use quaypath::types::NodeCondition::{Draining, Ready, Removed};
 use quaypath_nvme::command::Sqe;
 use quaypath_nvme::host::Offer;
 use quaypath_nvme::pdu::Format;
@@ -281,7 +281,7 @@
         target.later.send((0x100, 0)).unwrap();
         assert_eq!(client.io.answer().1, status::SUCCESS);
     } else {
-        gateway.list(target.address, 0, Gone);
+        gateway.list(target.address, 0, Removed);
         target.later.send((0x100, status::INTERNAL_ERROR)).unwrap();
         assert_eq!(client.io.answer().1, SCRAPPED);
     }
@@ -307,7 +307,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     settled(&mut client);
-    gateway.list(old.address, good, Gone);
+    gateway.list(old.address, good, Removed);
     gateway.list(new.address, good, Ready);
     until("the last list is known", || {
         client.ask(READ, 1, 0x100, 8);
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use quaypath::types::{Band, Plan, Repeat, Scope, Settings};
+use quaypath::types::{Band, DedupScope, Plan, Repeat, Settings};
 use quaypath_rules as rules;
 use serde::{Deserialize, Serialize};
 
@@ -436,15 +436,22 @@
         return bad(at, "window or scope", "only a tagged band has them (rule 2)");
     }
     let scope = match form.scope.as_str() {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ => Scope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ => DedupScope::All,
     };
     if longest_return > form.outer {
         return bad("allow, longest-return", longest_return, format!("{at} waits {} s at most", form.outer));
     }
     let (window, ordered) = (form.window, form.ordered);
-    let core = Band { due: form.due, benefit: form.benefit, repeat, scope, window, ordered };
+    let core = Band {
+        due: form.due,
+        benefit: form.benefit,
+        repeat,
+        dedup_scope: scope,
+        dedup_window: window,
+        ordered,
+    };
     let judged = rules::Band {
         name: form.name.clone(),
         repeat: match repeat {
@@ -453,9 +460,9 @@
             Repeat::OnceOnly => rules::Repeat::OnceOnly,
         },
         scope: match scope {
-            Scope::All => rules::Scope::All,
-            Scope::Zone => rules::Scope::Zone,
-            Scope::Cell => rules::Scope::Cell,
+            DedupScope::All => rules::Scope::All,
+            DedupScope::Zone => rules::Scope::Zone,
+            DedupScope::Cell => rules::Scope::Cell,
         },
         window,
         ordered,
@@ -481,7 +488,7 @@
         reservation: form.reservation,
         nominal: form.nominal,
         weight: form.weight,
-        factor: form.factor,
+        benefit_factor: form.factor,
     })
 }
 
@@ -643,23 +650,23 @@
         bands,
         plans,
         mean_units: form.units.mean,
-        young_units: figures.young_units,
-        metered: form.units.metering > 0.0,
-        tells_others: form.units.tells_others,
+        cold_start_units: figures.young_units,
+        reports_usage: form.units.metering > 0.0,
+        reports_others_usage: form.units.tells_others,
         may_cancel: allow.cancel,
-        most_shots: allow.shots,
-        advises_return: allow.longest_return > 0.0,
-        longest_return: allow.longest_return,
-        must_ask: asked,
+        max_shots: allow.shots,
+        advises_retry: allow.longest_return > 0.0,
+        max_retry_after: allow.longest_return,
+        must_subscribe: asked,
         // Nodes on NVMe/TCP refuse new commands once they drain, so the core sends them none.
         drain_grace: 0.0,
         start_capacity: figures.start_capacity,
-        cold_for: figures.cold_for,
-        fall_multiple: figures.fall_multiple,
-        overload_for: figures.overload_for,
-        key_quiet: figures.key_quiet,
-        hold: 0.0,
-        further,
+        warm_up: figures.cold_for,
+        overload_multiple: figures.fall_multiple,
+        overload_window: figures.overload_for,
+        key_quiet_period: figures.key_quiet,
+        earlier_loans_hold: 0.0,
+        retry_budget: further,
     };
     let book = rules::Book {
         bands: judged,
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use quaypath::types::{Band, Plan, Repeat, Scope, Settings};
+use quaypath::types::{Band, DedupScope, Plan, Repeat, Settings};
 use serde_json::Value;
 
 /// What stays outside the core: the names that bands and plans have for others.
@@ -116,12 +116,12 @@
                 "fragile" => Repeat::OnceOnly,
                 other => return Err(format!("setting {}: cannot read '{other}'", path("Repeat"))),
             },
-            scope: match pairs.optional::<String>(&path("DedupScope"))?.as_deref() {
-                Some("all") => Scope::All,
-                Some("zone") => Scope::Zone,
-                _ => Scope::Cell,
+            dedup_scope: match pairs.optional::<String>(&path("DedupScope"))?.as_deref() {
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Cell,
             },
-            window: pairs.number(&path("Window"))?,
+            dedup_window: pairs.number(&path("Window"))?,
             ordered: pairs.flag(&path("KeepOrder")),
         });
     }
@@ -135,7 +135,7 @@
             reservation: pairs.number(&path("Guaranteed"))?,
             nominal: pairs.number(&path("Nominal"))?,
             weight: pairs.number(&path("Proportion"))?,
-            factor: pairs.number(&path("WorthFactor"))?,
+            benefit_factor: pairs.number(&path("WorthFactor"))?,
         });
     }
     let look_back = pairs.number("Rules.LookBack")?;
@@ -144,22 +144,22 @@
         bands,
         plans,
         mean_units: pairs.number("FamilyInfo.MeanUnits")?,
-        young_units: pairs.number("FamilyInfo.YoungLimit")?,
-        metered: pairs.number("FamilyInfo.Metering")? > 0.0,
-        tells_others: pairs.flag("FamilyInfo.CountsOthers"),
+        cold_start_units: pairs.number("FamilyInfo.YoungLimit")?,
+        reports_usage: pairs.number("FamilyInfo.Metering")? > 0.0,
+        reports_others_usage: pairs.flag("FamilyInfo.CountsOthers"),
         may_cancel: pairs.flag("Ceilings.MayCancel"),
-        most_shots: pairs.optional("Ceilings.MaxAttempts")?.unwrap_or(1),
-        advises_return: pairs.flag("Ceilings.RetryAfter"),
-        longest_return: pairs.number("Ceilings.MaxRetryAfter")?,
-        must_ask: pairs.text("RegistryMode") == Some("on_request"),
+        max_shots: pairs.optional("Ceilings.MaxAttempts")?.unwrap_or(1),
+        advises_retry: pairs.flag("Ceilings.RetryAfter"),
+        max_retry_after: pairs.number("Ceilings.MaxRetryAfter")?,
+        must_subscribe: pairs.text("RegistryMode") == Some("on_request"),
         drain_grace: pairs.number("Rules.DrainGrace")?,
         start_capacity: pairs.number("Rules.StartCapacity")?,
-        cold_for: pairs.number("Rules.Cold")?,
-        fall_multiple: pairs.number("Rules.FallMultiple")?,
-        overload_for: pairs.number("Rules.OverloadFor")?,
-        key_quiet: pairs.number("Rules.KeyQuiet")?,
-        hold: 0.0,
-        further: if look_back > 0.0 {
+        warm_up: pairs.number("Rules.Cold")?,
+        overload_multiple: pairs.number("Rules.FallMultiple")?,
+        overload_window: pairs.number("Rules.OverloadFor")?,
+        key_quiet_period: pairs.number("Rules.KeyQuiet")?,
+        earlier_loans_hold: 0.0,
+        retry_budget: if look_back > 0.0 {
             Some((pairs.number("Rules.ResendRatio")?, pairs.number("Rules.SpareAttempts")?, look_back))
         } else {
             None
--- a/crates/settings/tests/migrate.rs
+++ b/crates/settings/tests/migrate.rs
@@ -61,8 +61,11 @@
     assert!(migrate(&new, &sample(shape)).unwrap().same());
     assert_eq!((now.name, now.plan_names, now.volumes.len()), (was.name, was.plan_names, was.volumes.len()));
     assert_eq!(format!("{:?}", now.core.bands), format!("{:?}", by.core.bands));
-    assert_eq!(now.core.further, by.core.further);
-    assert_eq!((now.core.tells_others, now.core.most_shots), (by.core.tells_others, by.core.most_shots));
+    assert_eq!(now.core.retry_budget, by.core.retry_budget);
+    assert_eq!(
+        (now.core.reports_others_usage, now.core.max_shots),
+        (by.core.reports_others_usage, by.core.max_shots)
+    );
 }
 
 #[test_case("<volumes plan=\"basic\" first=\"1\" count=\"24\" initiators=\"2\"", "initiators=\"2\"", "initiators=\"9\"", "volumes of plan basic"; "more initiators than the shape has")]
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use quaypath::types::Condition;
+use quaypath::types::NodeCondition;
 use quaypath_initiator::list::Entry;
 use quaypath_nvme::admin::{ana, log, Do, Group, Kind, Notice, Record, View};
 use quaypath_nvme::association::Associations;
@@ -57,7 +57,7 @@
         for change in &self.changes[..shown] {
             last.insert(change.port, change.clone());
         }
-        last.retain(|_, change| change.entry.condition != Condition::Gone);
+        last.retain(|_, change| change.entry.condition != NodeCondition::Removed);
         (shown as u64 + 1, last.into_values().collect())
     }
 }
@@ -73,11 +73,11 @@
     _running: Running,
 }
 
-fn listed(condition: Condition) -> Listed {
+fn listed(condition: NodeCondition) -> Listed {
     match condition {
-        Condition::Ready => Listed::Ready,
-        Condition::Draining => Listed::Draining,
-        Condition::Gone => Listed::Gone,
+        NodeCondition::Ready => Listed::Ready,
+        NodeCondition::Draining => Listed::Draining,
+        NodeCondition::Removed => Listed::Gone,
     }
 }
 
@@ -115,7 +115,7 @@
 
     /// The list gets this entry, `after` seconds from now. A node that started long ago has no start time.
     pub fn list(
-        &self, node: &str, zone: &str, block: i64, condition: Condition, started: Option<f64>, after: f64,
+        &self, node: &str, zone: &str, block: i64, condition: NodeCondition, started: Option<f64>, after: f64,
     ) {
         let now = self.record.clock.now();
         let mut book = self.book.lock().unwrap();
@@ -214,9 +214,9 @@
     }
     fn groups(&self) -> Vec<Group> {
         let state = |change: &Change| match change.entry.condition {
-            Condition::Ready => ana::OPTIMIZED,
-            Condition::Draining => ana::INACCESSIBLE,
-            Condition::Gone => ana::PERSISTENT_LOSS,
+            NodeCondition::Ready => ana::OPTIMIZED,
+            NodeCondition::Draining => ana::INACCESSIBLE,
+            NodeCondition::Removed => ana::PERSISTENT_LOSS,
         };
         self.shown.iter().map(|change| (u32::from(change.port) + 1, state(change), Vec::new())).collect()
     }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -7,10 +7,10 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use quaypath::brain::Brain;
+use quaypath::scheduler::Scheduler;
 use quaypath::types::{
-    Account, BandId, BlockId, Condition, ExtentId, ListScope, Listed, Need, NodeId, Outbox, Outcome, PlanId,
-    Shared, TransactionId, VolumeId,
+    BandId, BlockId, ExtentId, LimitBalance, LimitId, ListKind, ListedNode, NodeCondition, NodeId, Outbox,
+    Outcome, PeerReport, PlanId, TransactionId, VolumeId,
 };
 use quaypath_fleet::lend::{gone, Ledger};
 use quaypath_fleet::signal::{Figures, Host, News, Signals};
@@ -59,7 +59,7 @@
     fn subscribe(&mut self, on: bool) {
         self.line(format_args!("KEEP_INFORMED {}", u8::from(on)));
     }
-    fn fetch_list(&mut self) {
+    fn fetch_node_list(&mut self) {
         self.line(format_args!("LOOKUP"));
     }
     fn probe(&mut self, node: &NodeId) {
@@ -68,14 +68,14 @@
     fn close(&mut self, node: &NodeId) {
         self.line(format_args!("CLOSE {}", node.0));
     }
-    fn tell(&mut self, initiator: Option<u64>, payload: &[u8]) {
+    fn send_to_peer(&mut self, initiator: Option<u64>, payload: &[u8]) {
         let hex: String = payload.iter().map(|byte| format!("{byte:02x}")).collect();
         match initiator {
             Some(one) => self.line(format_args!("SIGNAL {one} {hex}")),
             None => self.line(format_args!("SIGNAL all {hex}")),
         }
     }
-    fn seen(&mut self, block: BlockId, stay: f64) {
+    fn latency_observed(&mut self, block: BlockId, stay: f64) {
         self.seen.push((block, stay));
     }
     fn log(&mut self, text: &str) {
@@ -145,12 +145,12 @@
         Ok(match self.needed::<String>(at, "Status")?.as_str() {
             "Ok" => Outcome::Settled,
             "Failed" => Outcome::Failed,
-            "QueueFull" => Outcome::Full,
+            "QueueFull" => Outcome::QueueFull,
             "TimedOut" => Outcome::TimedOut,
             "ConnectError" => Outcome::Unreachable,
             "ResetByPeer" => Outcome::Reset,
             "Canceled" => Outcome::Cancelled,
-            "Ignored" => Outcome::Moot,
+            "Ignored" => Outcome::Abandoned,
             other => return Err(format!("{}: field Status: unknown outcome '{other}'", self.name)),
         })
     }
@@ -167,30 +167,34 @@
 }
 
 struct Instance {
-    brain: Brain,
+    brain: Scheduler,
     names: Names,
     /// Where initiators may talk.
     signals: Option<Signals>,
 }
 
 /// The core's accounts, and the wire, as signals use them.
-struct Books<'a, 'b>(&'a mut Brain, &'a mut Reply<'b>);
+struct Books<'a, 'b>(&'a mut Scheduler, &'a mut Reply<'b>);
 
 impl Ledger for Books<'_, '_> {
-    fn needs(&mut self, now: f64) -> Vec<Need> {
-        self.0.needs(now)
+    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
+        self.0.limit_balances(now)
     }
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
-        self.0.shared(now, Shared::Units(account, units, until), self.1)
+    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
+        self.0.peer_report_received(now, PeerReport::Units(account, units, until), self.1)
     }
 }
 
 impl Host for Books<'_, '_> {
     fn tell(&mut self, to: MemberId, bytes: &[u8]) {
-        self.1.tell(Some(u64::from(to.0)), bytes);
+        self.1.send_to_peer(Some(u64::from(to.0)), bytes);
     }
     fn news(&mut self, now: f64, news: &News) {
-        self.0.shared(now, Shared::Stay(news.block, news.stay, news.answers, news.age), self.1);
+        self.0.peer_report_received(
+            now,
+            PeerReport::Latency(news.block, news.stay, news.answers, news.age),
+            self.1,
+        );
     }
 }
 
@@ -323,16 +327,16 @@
     }
 }
 
-fn entry(line: &str) -> Result<Listed, String> {
+fn entry(line: &str) -> Result<ListedNode, String> {
     let fields = Fields::split(line);
     if fields.name != "ENTRY" {
         return Err(format!("{}: an ENTRY was expected", fields.name));
     }
     fields.exactly(7)?;
     let condition = match fields.needed::<u8>(4, "Condition")? {
-        2 => Condition::Ready,
-        0 => Condition::Draining,
-        1 => Condition::Gone,
+        2 => NodeCondition::Ready,
+        0 => NodeCondition::Draining,
+        1 => NodeCondition::Removed,
         other => return Err(format!("ENTRY: field Condition: unknown value '{other}'")),
     };
     let block = BlockId(fields.value(3, "Block")?.unwrap_or(-1));
@@ -340,8 +344,8 @@
 }
 
 fn event(
-    fields: &Fields, entries: Vec<Listed>, name: &str, instances: &mut BTreeMap<String, Instance>, now: f64,
-    out: &mut Reply,
+    fields: &Fields, entries: Vec<ListedNode>, name: &str, instances: &mut BTreeMap<String, Instance>,
+    now: f64, out: &mut Reply,
 ) -> Result<(), String> {
     match fields.name {
         "START" => {
@@ -352,8 +356,8 @@
             });
             let (mut settings, names, signals) =
                 decoded.map_err(|what| format!("START: field Params: {what}"))?;
-            settings.hold = if signals.is_some() { gone() } else { 0.0 };
-            let brain = Brain::start(now, seed, settings, out);
+            settings.earlier_loans_hold = if signals.is_some() { gone() } else { 0.0 };
+            let brain = Scheduler::start(now, seed, settings, out);
             let mut instance = Instance { brain, names, signals };
             instance.settle(now, out);
             instances.insert(name.to_string(), instance);
@@ -374,13 +378,13 @@
     match fields.name {
         "PEERS_KNOWN" => {
             let scope = match fields.needed::<u8>(0, "Scope")? {
-                0 => ListScope::Changes,
-                1 => ListScope::Whole,
-                2 => ListScope::Cached,
-                3 => ListScope::Failed,
+                0 => ListKind::Changes,
+                1 => ListKind::Complete,
+                2 => ListKind::Cached,
+                3 => ListKind::FetchFailed,
                 other => return Err(format!("PEERS_KNOWN: field Scope: unknown value '{other}'")),
             };
-            brain.list_known(now, scope, &entries, out);
+            brain.node_list_received(now, scope, &entries, out);
         }
         "REQ" => {
             fields.exactly(10)?;
@@ -388,7 +392,7 @@
             let plan = plan.and_then(|plan| names.plans.iter().position(|known| *known == plan)).map(PlanId);
             let band: String = fields.needed(4, "Service")?;
             let band = names.bands.iter().position(|known| *known == band);
-            brain.taken(
+            brain.transaction_received(
                 now,
                 transaction(0)?,
                 fields.value(2, "Hosts")?.unwrap_or(1.0),
@@ -411,7 +415,7 @@
         }
         "RETURNED" => {
             fields.exactly(9)?;
-            brain.returned(
+            brain.shot_completed(
                 now,
                 transaction(0)?,
                 &fields.node(1)?,
@@ -427,13 +431,13 @@
         }
         "LAPSED" => {
             fields.exactly(1)?;
-            brain.lapsed(now, transaction(0)?, out);
+            brain.client_cancelled(now, transaction(0)?, out);
         }
         "RING" => {
             fields.exactly(1)?;
             match fields.needed(0, "Tag")? {
                 SIGNALS => {}
-                tag => brain.rang(now, tag, out),
+                tag => brain.timer_fired(now, tag, out),
             }
         }
         "PROBED" => {
--- a/src/brain.rs
+++ b/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! All decisions of one initiator. The caller makes a [`Brain`] with `Brain::start`, then calls one method
+//! All decisions of one initiator. The caller makes a [`Scheduler`] with `Scheduler::start`, then calls one method
 //! for each event, in order, with the clock time `now`; what it wants done leaves through the `Outbox` in
 //! that same call. `types.rs`: ids, settings, actions; `state.rs`: what is remembered; the rest only adds up.
 
@@ -8,9 +8,9 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::ring::Ring;
+use crate::sliding_window::SlidingWindow;
 use crate::state::*;
-use crate::store::Store;
+use crate::token_bucket::TokenBucket;
 use crate::types::*;
 
 /// The design's starting estimates: a random unit of work against the due time, a run against a random one.
@@ -46,31 +46,31 @@
 const GAP_CLAMP: f64 = 3.0; // times what the node's pace makes likely, that a single gap counts at most
 
 /// Most measures forget after three seconds.
-impl Default for Ring {
+impl Default for SlidingWindow {
     fn default() -> Self {
-        Ring::new(0.5, 6)
+        SlidingWindow::new(0.5, 6)
     }
 }
 
-pub struct Brain {
+pub struct Scheduler {
     set: Settings,
     chance: WyRand,
     shortest: f64,
     highest: f64,
     /// Of all nodes: stays, stays of answers alone, and the share of shots that timed out.
-    fleet: Ring,
-    quick: Ring,
-    lost: Ring,
+    fleet: SlidingWindow,
+    quick: SlidingWindow,
+    lost: SlidingWindow,
     started: f64,
     transactions: BTreeMap<TransactionId, Transaction>,
-    posts: BTreeMap<BlockId, Post>,
+    posts: BTreeMap<BlockId, NodeState>,
     volumes: BTreeMap<VolumeId, Volume>,
-    turns: BTreeMap<ExtentId, Turn>,
+    turns: BTreeMap<ExtentId, KeyQueue>,
     /// Transactions that came for each block, of late.
     asked: BTreeMap<BlockId, f64>,
     longest: Vec<f64>,
-    taken: Ring,
-    further: Ring,
+    taken: SlidingWindow,
+    further: SlidingWindow,
     failed_calls: i32,
     began: Option<bool>,
     swept_at: f64,
@@ -83,9 +83,9 @@
 const TAG_ASK: u64 = 2;
 const TAG_LATE: u64 = 3;
 
-impl Brain {
+impl Scheduler {
     pub fn start(now: f64, seed: u64, mut set: Settings, out: &mut impl Outbox) -> Self {
-        if set.must_ask {
+        if set.must_subscribe {
             out.subscribe(true);
         }
         set.plans.push(Plan::default()); // that of a volume without a plan
@@ -93,19 +93,19 @@
         set.mean_units = set.mean_units.max(1.0);
         let shortest = set.bands.iter().map(|band| band.due).fold(f64::INFINITY, f64::min);
         let highest = set.bands.iter().map(|band| band.benefit).fold(1e-9, f64::max);
-        let look_back = set.further.map_or(1.0, |(_, _, look_back)| look_back);
-        Brain {
+        let look_back = set.retry_budget.map_or(1.0, |(_, _, look_back)| look_back);
+        Scheduler {
             chance: WyRand::new_seed(seed),
             shortest,
             highest,
             started: now,
-            fleet: Ring::new(0.25, 4),
-            quick: Ring::default(),
-            lost: Ring::default(),
+            fleet: SlidingWindow::new(0.25, 4),
+            quick: SlidingWindow::default(),
+            lost: SlidingWindow::default(),
             longest: vec![0.0; set.bands.len()],
             // One ring forgets a little early, the other a little late, so that neither helps the budget.
-            taken: Ring::new(look_back / 50.0, 50),
-            further: Ring::new(look_back / 50.0, 52),
+            taken: SlidingWindow::new(look_back / 50.0, 50),
+            further: SlidingWindow::new(look_back / 50.0, 52),
             unit_time: shortest.min(1e3) * RANDOM_PART / set.mean_units,
             transactions: BTreeMap::new(),
             posts: BTreeMap::new(),
@@ -119,23 +119,25 @@
         }
     }
 
-    pub fn list_known(&mut self, now: f64, scope: ListScope, entries: &[Listed], out: &mut impl Outbox) {
-        if scope == ListScope::Failed {
+    pub fn node_list_received(
+        &mut self, now: f64, scope: ListKind, entries: &[ListedNode], out: &mut impl Outbox,
+    ) {
+        if scope == ListKind::FetchFailed {
             // May mean a lost subscription. Spaced and jittered: a crowd of repeats would choke the register.
             self.failed_calls += 1;
             let wait = 0.5 * f64::from(1 << self.failed_calls.min(3)) * self.spread();
             return out.set_timer(wait, TAG_ASK);
         }
         self.failed_calls = 0;
-        if scope != ListScope::Changes {
+        if scope != ListKind::Changes {
             let listed: BTreeSet<_> = entries.iter().map(|(node, ..)| Some(node)).collect();
             let gone = self.posts.values_mut().filter(|post| !listed.contains(&post.node.as_ref()));
             gone.for_each(|post| post.until = 0.0);
         }
         for (node, block, condition, started, size) in entries {
             let ours = self.posts.get(block).is_some_and(|post| post.node.as_ref() == Some(node));
-            if *condition != Condition::Ready {
-                let serves = scope == ListScope::Changes && *condition == Condition::Draining;
+            if *condition != NodeCondition::Ready {
+                let serves = scope == ListKind::Changes && *condition == NodeCondition::Draining;
                 let until = if serves { now + GRACE_PART * self.set.drain_grace } else { 0.0 };
                 self.posts.get_mut(block).filter(|_| ours).into_iter().for_each(|post| {
                     post.until = post.until.min(until);
@@ -144,7 +146,7 @@
             }
             if !ours || self.posts[block].started != *started {
                 let before = self.posts.remove(block).unwrap_or_default();
-                let Post { lines, again, out, hosts, earlier_rate_at, .. } = before;
+                let NodeState { lines, again, out, hosts, earlier_rate_at, .. } = before;
                 // A replacement that is listed as smaller bears as much less.
                 let smaller = *size > 0.0 && before.size > 0.0;
                 let earlier_rate =
@@ -152,10 +154,10 @@
                 let (node, started, out) = (Some(node.clone()), *started, if ours { out } else { 0.0 });
                 let elsewhere = self.transactions.values_mut().filter(|t| !ours && t.block == *block);
                 elsewhere.for_each(|t| t.late_at = f64::INFINITY); // holds no credit here
-                let known = started > 0.0 && self.set.overload_for > 0.0;
-                let warm_at = if known { started + self.set.cold_for + self.set.overload_for } else { 0.0 };
-                let fresh = Post { warm_at, earlier_rate, earlier_rate_at, ..self.fresh_post() };
-                let post = Post { node, started, lines, again, out, hosts, ..fresh };
+                let known = started > 0.0 && self.set.overload_window > 0.0;
+                let warm_at = if known { started + self.set.warm_up + self.set.overload_window } else { 0.0 };
+                let fresh = NodeState { warm_at, earlier_rate, earlier_rate_at, ..self.fresh_post() };
+                let post = NodeState { node, started, lines, again, out, hosts, ..fresh };
                 self.posts.insert(*block, post);
             }
             let post = self.post(*block);
@@ -164,7 +166,7 @@
         }
     }
 
-    pub fn taken(
+    pub fn transaction_received(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
         out: &mut impl Outbox,
@@ -181,14 +183,18 @@
         self.volumes.entry(volume.clone()).or_insert_with(|| {
             let fresh = Volume { reserve: f64::INFINITY, filled_at: self.started, ..Volume::default() };
             // What an earlier life lent counts at others until it has lapsed there.
-            let limit = Store { level, filled_at: self.started + self.set.hold, ..Store::default() };
-            let account = Account::of_limit(&volume);
-            Volume { plan, initiators, limit, account, part: 1.0 / initiators, ..fresh }
+            let limit = TokenBucket {
+                level,
+                filled_at: self.started + self.set.earlier_loans_hold,
+                ..TokenBucket::default()
+            };
+            let limit_id = LimitId::of_volume(&volume);
+            Volume { plan, initiators, limit, limit_id, part: 1.0 / initiators, ..fresh }
         });
         // A client's repeat has less time left than a first try; what it spent counts against its due time.
         // More spent than a refusal and the advised wait explain is an impatient caller, not a repeat.
         self.longest[band.0] = self.longest[band.0].max(budget);
-        let explained = 1.25 * (self.set.bands[band.0].due + self.set.longest_return);
+        let explained = 1.25 * (self.set.bands[band.0].due + self.set.max_retry_after);
         let spent = Some(self.longest[band.0] - budget).filter(|spent| *spent < explained).unwrap_or(0.0);
         let due = now + (self.set.bands[band.0].due - spent).min(budget);
         let (late, movable) = (due <= now, block.is_none());
@@ -205,33 +211,33 @@
         }
         let t = Transaction { band, volume, extent, units, block, movable, ..Transaction::default() };
         self.transactions.insert(id, Transaction { due, outer: now + budget, give_up, estimate, ..t });
-        self.shift(id, if late { State::Again } else { State::Waiting });
+        self.shift(id, if late { State::Retry } else { State::Waiting });
         self.pump(now, block, out);
         if self.transactions[&id].state == State::Waiting {
             out.set_timer(give_up - now, id.0 << 2 | TAG_GIVE_UP);
-        } else if self.transactions[&id].state == State::Again {
+        } else if self.transactions[&id].state == State::Retry {
             // Late already: it had its chance at credit that nothing in time wanted.
             self.give_up(now, id, out);
         }
     }
 
-    pub fn returned(
+    pub fn shot_completed(
         &mut self, now: f64, id: TransactionId, node: &NodeId, _shot: u32, used: f64, delay: f64, last: bool,
         outcome: Outcome, others: f64, _report: &[f64], out: &mut impl Outbox,
     ) {
         let Some(t) = self.transactions.get_mut(&id) else { return };
         t.shot_out = false;
-        if !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::Moot) {
+        if !matches!(outcome, Outcome::QueueFull | Outcome::Unreachable | Outcome::Abandoned) {
             t.maybe_ran.get_or_insert(t.sent_at);
         }
-        let (block, over) = (t.block, t.state == State::Over);
+        let (block, over) = (t.block, t.state == State::Finished);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             let turn = t.extent.as_ref().and_then(|extent| self.turns.get_mut(extent));
-            turn.into_iter().for_each(|turn| turn.quiet_until = now + self.set.key_quiet);
+            turn.into_iter().for_each(|turn| turn.quiet_until = now + self.set.key_quiet_period);
         }
         if outcome == Outcome::Settled && self.began.is_none() {
             // No period of use is over anywhere: all initiators have just begun, this one for the first time.
-            self.began = Some(self.set.metered && used == 0.0);
+            self.began = Some(self.set.reports_usage && used == 0.0);
             for volume in self.volumes.values_mut().filter(|_| self.began == Some(true)) {
                 volume.limit.level += self.set.plans[volume.plan.0].burst / volume.initiators;
             }
@@ -249,7 +255,7 @@
             let t = self.transactions.get_mut(&id).unwrap();
             t.block = block;
             out.set_timer(t.give_up - now, id.0 << 2 | TAG_GIVE_UP);
-            self.shift(id, State::Again);
+            self.shift(id, State::Retry);
             self.pump(now, block, out);
         } else {
             self.give_up(now, id, out);
@@ -258,30 +264,30 @@
     }
 
     /// What other initiators had to say; whether units were there to move.
-    pub fn shared(&mut self, now: f64, shared: Shared, out: &mut impl Outbox) -> bool {
+    pub fn peer_report_received(&mut self, now: f64, shared: PeerReport, out: &mut impl Outbox) -> bool {
         match shared {
-            Shared::Stay(block, stay, answers, ago) => {
+            PeerReport::Latency(block, stay, answers, ago) => {
                 let (post, weight) = (self.posts.get_mut(&block), answers * HEARSAY);
                 post.is_some_and(|post| post.others.add_at(now, now - ago, stay * weight, weight))
             }
-            Shared::Units(account, units, until) => {
+            PeerReport::Units(account, units, until) => {
                 now < until && self.moved(now, account, units, until, out)
             }
         }
     }
 
-    fn moved(&mut self, now: f64, account: Account, units: f64, until: f64, out: &mut impl Outbox) -> bool {
-        let name = self.volumes.iter().find(|(_, volume)| volume.account == account);
+    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64, out: &mut impl Outbox) -> bool {
+        let name = self.volumes.iter().find(|(_, volume)| volume.limit_id == account);
         let Some(name) = name.map(|(name, _)| name.clone()) else { return false };
         self.fill(now, &name);
-        let done = self.volumes.get_mut(&name).unwrap().limit.shift(units, until);
+        let done = self.volumes.get_mut(&name).unwrap().limit.transfer(units, until);
         let blocks: Vec<BlockId> = self.posts.keys().filter(|_| units > 0.0).copied().collect();
         blocks.into_iter().for_each(|block| self.pump(now, block, out));
         done
     }
 
     /// Accounts that are shared with others, and how each stands here.
-    pub fn needs(&mut self, now: f64) -> Vec<Need> {
+    pub fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
         let mut waits: BTreeMap<VolumeId, f64> = BTreeMap::new();
         let waiting = self.transactions.values().filter(|t| t.state == State::Waiting);
         for (name, block, units) in waiting.map(|t| (t.volume.clone(), t.block, t.units)).collect::<Vec<_>>()
@@ -299,13 +305,17 @@
             let over = volume.limit.level - waits.get(&name).copied().unwrap_or(0.0);
             // A second's use of its own is kept.
             let keep = volume.usage.sum(now) / FEW / self.unit_time;
-            Need { account: volume.account, spare: (over - keep).max(0.0), wants: (-over).max(0.0) }
+            LimitBalance {
+                limit_id: volume.limit_id,
+                spare: (over - keep).max(0.0),
+                shortfall: (-over).max(0.0),
+            }
         };
         names.into_iter().map(need).collect()
     }
 
     /// Volumes and ordered keys held, for those who watch memory.
-    pub fn accounts(&self) -> (usize, usize) {
+    pub fn tracked_counts(&self) -> (usize, usize) {
         (self.volumes.len(), self.turns.len())
     }
 
@@ -324,18 +334,18 @@
     }
 
     /// Against work that nobody waits for. Where nodes go on with it all the same, its news is lost.
-    pub fn lapsed(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
+    pub fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
         let sent = self.transactions.get(&id).filter(|t| t.shot_out && self.set.may_cancel);
         sent.into_iter().for_each(|t| out.cancel(id, t.shots - 1));
         self.end(now, id, out);
     }
 
-    pub fn rang(&mut self, now: f64, tag: u64, out: &mut impl Outbox) {
+    pub fn timer_fired(&mut self, now: f64, tag: u64, out: &mut impl Outbox) {
         match (tag & 3, tag >> 2) {
             (TAG_GIVE_UP, id) => {
                 let id = TransactionId(id);
                 let Some(t) = self.transactions.get(&id) else { return };
-                if matches!(t.state, State::Waiting | State::Again) && now >= t.give_up - 1e-6 {
+                if matches!(t.state, State::Waiting | State::Retry) && now >= t.give_up - 1e-6 {
                     self.give_up(now, id, out);
                 }
             }
@@ -359,8 +369,8 @@
                 post.lines.get_mut(&t.volume).unwrap().retain(|held| *held != id);
                 post.lines.retain(|_, line| !line.is_empty());
             }
-            State::Again => post.again.retain(|held| *held != id),
-            State::Out | State::Over => {}
+            State::Retry => post.again.retain(|held| *held != id),
+            State::InFlight | State::Finished => {}
         }
         match to {
             State::Waiting => {
@@ -368,8 +378,8 @@
                 let at = line.iter().rposition(|held| self.transactions[held].due <= due);
                 line.insert(at.map_or(0, |at| at + 1), id);
             }
-            State::Again => post.again.push_back(id),
-            State::Out | State::Over => {}
+            State::Retry => post.again.push_back(id),
+            State::InFlight | State::Finished => {}
         }
     }
 
@@ -404,29 +414,30 @@
     /// Mean stay at the node, in due times, by the answers of the last half second; where these are few, by
     /// those of the last seconds, and where these are, by all nodes. Silence tells as much as a late answer.
     fn stay(&mut self, now: f64, block: BlockId) -> f64 {
-        let fleet = self.fleet.blend(now, 0.0, PRIOR);
+        let fleet = self.fleet.mean_with_prior(now, 0.0, PRIOR);
         let lossy = self.lossy(now, block);
         let post = self.posts.get_mut(&block).unwrap();
         // Only where there is nothing of one's own: what others saw is late, and all would follow it.
-        let hearsay = post.others.known(now) && !post.stays.known(now);
-        let wide = if hearsay { post.others.blend(now, fleet, PRIOR) } else { fleet };
-        let wide = post.stays.blend(now, wide, PRIOR);
+        let hearsay = post.others.has_samples(now) && !post.stays.has_samples(now);
+        let wide = if hearsay { post.others.mean_with_prior(now, fleet, PRIOR) } else { fleet };
+        let wide = post.stays.mean_with_prior(now, wide, PRIOR);
         // Not where answers get lost on the way: there shots are stopped early, and silence is no jam.
         let silent = if post.out > 0.0 && !lossy { (now - post.silent_since) / self.shortest } else { 0.0 };
-        post.strain.blend(now, wide, PRIOR).max(silent)
+        post.strain.mean_with_prior(now, wide, PRIOR).max(silent)
     }
 
     /// Whether answers of this node, or all where few, get lost: many time out though others are quick.
     fn lossy(&mut self, now: f64, block: BlockId) -> bool {
         let (lost, quick) = (self.lost.mean(now, 0.0), self.quick.mean(now, 1.0));
         let post = self.posts.get_mut(&block).unwrap();
-        post.lost.blend(now, lost, PRIOR) > LOSSY && post.strain.blend(now, quick, PRIOR) < 0.3
+        post.lost.mean_with_prior(now, lost, PRIOR) > LOSSY
+            && post.strain.mean_with_prior(now, quick, PRIOR) < 0.3
     }
 
     /// The next transaction for this node, or when to look again.
     fn pick(&mut self, now: f64, block: BlockId, full: bool, stay: f64) -> Result<TransactionId, f64> {
         let (mut look_again, mut best) = (f64::INFINITY, None);
-        let (cold, all) = (self.cold(now, block), self.quick.blend(now, 0.0, PRIOR));
+        let (cold, all) = (self.cold(now, block), self.quick.mean_with_prior(now, 0.0, PRIOR));
         let heads = |line: &VecDeque<TransactionId>| line.iter().copied().take(LOOK_AHEAD).collect();
         let post = &self.posts[&block];
         let lines: Vec<Vec<_>> = post.lines.values().chain([&post.again]).map(heads).collect();
@@ -441,8 +452,8 @@
             let (name, state, estimate) = (t.volume.clone(), t.state, t.estimate);
             let (band, movable) = (t.band, t.movable);
             let rank = match state {
-                State::Again => (2, 0.0),
-                _ if cold => (0, -self.set.bands[band.0].benefit * self.plan(&name).factor),
+                State::Retry => (2, 0.0),
+                _ if cold => (0, -self.set.bands[band.0].benefit * self.plan(&name).benefit_factor),
                 _ => self.rank(now, &name, estimate),
             };
             let stay = if movable { stay.max(MOVABLE * all) } else { stay };
@@ -500,8 +511,8 @@
         }
         let ours = volume.usage.sum(now).max(0.0);
         // A meter that tells under half of what this initiator used alone is of a time before: no news.
-        let metered = volume.metered.known(now) && 2.0 * FEW * volume.metered.mean(now, 0.0) >= ours;
-        let (told, theirs) = (self.set.tells_others || metered, self.theirs(now, &name));
+        let metered = volume.metered.has_samples(now) && 2.0 * FEW * volume.metered.mean(now, 0.0) >= ours;
+        let (told, theirs) = (self.set.reports_others_usage || metered, self.theirs(now, &name));
         let volume = self.volumes.get_mut(&name).unwrap();
         let known = 2.0 * self.set.mean_units * self.unit_time;
         let part = (ours + known / volume.initiators) / (ours + theirs + known);
@@ -517,7 +528,7 @@
     /// What others used of that; where answers do not tell it, the meter's rate for all less one's own, late.
     fn theirs(&mut self, now: f64, name: &VolumeId) -> f64 {
         let volume = self.volumes.get_mut(name).unwrap();
-        if self.set.tells_others {
+        if self.set.reports_others_usage {
             return volume.theirs.sum(now);
         }
         (volume.metered.mean(now, 0.0) * FEW - volume.usage.sum(now)).max(0.0)
@@ -541,7 +552,7 @@
         let volume = self.volumes.get_mut(name).unwrap();
         let past = now - std::mem::replace(&mut volume.filled_at, now);
         volume.reserve = (volume.reserve + share * past).min(span);
-        volume.limit.fill(now, rate, burst);
+        volume.limit.refill(now, rate, burst);
     }
 
     fn charge(&mut self, now: f64, name: &VolumeId, time: f64) {
@@ -552,7 +563,7 @@
     }
 
     fn send(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        self.shift(id, State::Out);
+        self.shift(id, State::InFlight);
         let lossy = self.lossy(now, self.transactions[&id].block);
         let t = self.transactions.get_mut(&id).unwrap();
         let mut estimate = t.units * self.unit_time;
@@ -598,7 +609,7 @@
         if outcome == Outcome::Settled || (outcome == Outcome::TimedOut && !lossy) {
             self.fleet.add(now, stay, 1.0);
             post.stays.add(now, stay, 1.0);
-            out.seen(block, stay);
+            out.latency_observed(block, stay);
         }
         post.out = (post.out - held).max(0.0);
         post.silent_since = now;
@@ -634,7 +645,7 @@
                 let measured = estimate * (gap / likely).clamp(1.0 / GAP_CLAMP, GAP_CLAMP);
                 self.charge(now, &name, measured - estimate);
             }
-            Outcome::Full => (post.bound, post.next_try) = ((post.bound * 0.5).max(1.0), now + 0.02),
+            Outcome::QueueFull => (post.bound, post.next_try) = ((post.bound * 0.5).max(1.0), now + 0.02),
             // Three in a row are chance where every fourth answer is lost on the way.
             _ if lost && (outcome == Outcome::Unreachable || post.misses >= if lossy { 6 } else { 3 }) => {
                 post.bound = 1.0;
@@ -685,11 +696,11 @@
 
     fn give_up(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
         let Some(t) = self.transactions.get(&id) else { return };
-        let Band { repeat, scope, .. } = &self.set.bands[t.band.0];
-        let free = matches!((repeat, scope), (Repeat::Repeatable, _) | (Repeat::Tagged, Scope::All));
+        let Band { repeat, dedup_scope: scope, .. } = &self.set.bands[t.band.0];
+        let free = matches!((repeat, scope), (Repeat::Repeatable, _) | (Repeat::Tagged, DedupScope::All));
         let harmless = !t.shot_out && (t.maybe_ran.is_none() || free);
         if harmless {
-            let advice = if self.set.advises_return { self.set.longest_return } else { 0.0 };
+            let advice = if self.set.advises_retry { self.set.max_retry_after } else { 0.0 };
             out.decline(id, advice);
         } else {
             out.scrap(id);
@@ -700,7 +711,7 @@
     fn end(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
         let Some(t) = self.transactions.get(&id) else { return };
         let shot_out = t.shot_out;
-        self.shift(id, State::Over);
+        self.shift(id, State::Finished);
         if shot_out {
             return;
         }
@@ -727,11 +738,11 @@
             (_, None) | (Repeat::Repeatable, _) => true,
             (Repeat::OnceOnly, _) => false,
             // The same block is the same cell, the smallest group there is.
-            (Repeat::Tagged, Some(sent_at)) => now < sent_at + band.window,
+            (Repeat::Tagged, Some(sent_at)) => now < sent_at + band.dedup_window,
         };
-        let (share, free, _) = self.set.further.unwrap_or((0.0, f64::INFINITY, 0.0));
+        let (share, free, _) = self.set.retry_budget.unwrap_or((0.0, f64::INFINITY, 0.0));
         let budget = self.further.sum(now) + 1.0 <= free + share * self.taken.sum(now);
-        repeats && budget && !t.shot_out && t.shots < self.set.most_shots
+        repeats && budget && !t.shot_out && t.shots < self.set.max_shots
     }
 
     /// Key order, limits, cold nodes: when this transaction may be sent, infinity while that is open.
@@ -782,16 +793,16 @@
     /// more a part of what the node before settled for this initiator, grown as the slowest node warms. Less
     /// than a mean transaction is saved up until it is one, from a start by chance: initiators spread.
     fn slow_start_admits(&mut self, now: f64, block: BlockId, units: f64) -> bool {
-        let (first, warm) = (self.set.start_capacity.clamp(0.01, 1.0), self.set.cold_for.max(0.01));
-        let (mean, window) = (self.set.mean_units, self.set.overload_for);
-        let bears = self.set.young_units.max(mean) / self.users(block);
+        let (first, warm) = (self.set.start_capacity.clamp(0.01, 1.0), self.set.warm_up.max(0.01));
+        let (mean, window) = (self.set.mean_units, self.set.overload_window);
+        let bears = self.set.cold_start_units.max(mean) / self.users(block);
         let phase = self.chance.generate::<f64>();
         let post = self.posts.get_mut(&block).unwrap();
         let age = (now - post.started - window).clamp(0.0, warm);
         let warmth = first + (1.0 - first) * age / warm;
         // Others may have taken over work that this initiator had long before the start.
         let old = 2.0 * LONG / (post.started - post.earlier_rate_at).max(2.0 * LONG);
-        let earlier = EARLIER_PART * self.set.fall_multiple * post.earlier_rate * old * window;
+        let earlier = EARLIER_PART * self.set.overload_multiple * post.earlier_rate * old * window;
         let part = (bears / first).max(earlier) * warmth;
         let (saved, at) = post.saved.unwrap_or((phase * mean, now));
         let saved = (saved + part * (now - at) / window).min(units.max(mean));
@@ -804,18 +815,18 @@
         0.75 + 0.5 * self.chance.generate::<f64>()
     }
 
-    fn fresh_post(&self) -> Post {
-        Post {
+    fn fresh_post(&self) -> NodeState {
+        NodeState {
             // The design's bound is one host's at a disk of its own; here all initiators share the node.
             bound: (MOST_OUT / self.set.initiators).max(1.0),
-            strain: Ring::new(0.1, 5),
-            slow_start_sent: Ring::new(self.set.overload_for.max(0.1) / 8.0, 9),
-            settled: Ring::new(LONG / 8.0, 8),
-            ..Post::default()
+            strain: SlidingWindow::new(0.1, 5),
+            slow_start_sent: SlidingWindow::new(self.set.overload_window.max(0.1) / 8.0, 9),
+            settled: SlidingWindow::new(LONG / 8.0, 8),
+            ..NodeState::default()
         }
     }
 
-    fn post(&mut self, block: BlockId) -> &mut Post {
+    fn post(&mut self, block: BlockId) -> &mut NodeState {
         let fresh = (!self.posts.contains_key(&block)).then(|| self.fresh_post());
         self.posts.entry(block).or_insert_with(|| fresh.unwrap())
     }
--- a/src/ring.rs
+++ b/src/sliding_window.rs
@@ -1,16 +1,16 @@
 //! Measures over time: fixed buckets of time, used again in a ring.
 
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct SlidingWindow {
     width: f64,
     epoch: i64,
     /// For each bucket what was added, and the weight it was added with.
     buckets: Vec<(f64, f64)>,
 }
 
-impl Ring {
+impl SlidingWindow {
     pub fn new(width: f64, length: usize) -> Self {
-        Ring { width, epoch: i64::MIN / 2, buckets: vec![(0.0, 0.0); length.max(1)] }
+        SlidingWindow { width, epoch: i64::MIN / 2, buckets: vec![(0.0, 0.0); length.max(1)] }
     }
 
     fn turn(&mut self, now: f64) -> usize {
@@ -31,7 +31,7 @@
         self.buckets[at].1 += weight;
     }
 
-    /// As [`Ring::add`], of an earlier time; false, and nothing done, where that is over.
+    /// As [`SlidingWindow::add`], of an earlier time; false, and nothing done, where that is over.
     pub fn add_at(&mut self, now: f64, at: f64, amount: f64, weight: f64) -> bool {
         self.turn(now);
         let epoch = (at / self.width).floor() as i64;
@@ -55,12 +55,12 @@
     }
 
     /// Whether anything was weighed of late.
-    pub fn known(&mut self, now: f64) -> bool {
+    pub fn has_samples(&mut self, now: f64) -> bool {
         self.totals(now).1 > 0.0
     }
 
     /// The mean with a prior that counts as much as `weight`.
-    pub fn blend(&mut self, now: f64, prior: f64, weight: f64) -> f64 {
+    pub fn mean_with_prior(&mut self, now: f64, prior: f64, weight: f64) -> f64 {
         let (amount, known) = self.totals(now);
         (amount + prior * weight) / (known + weight)
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::ring::Ring;
-use crate::store::Store;
+use crate::sliding_window::SlidingWindow;
+use crate::token_bucket::TokenBucket;
 use crate::types::*;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -11,11 +11,11 @@
     /// Held for its first shot, in the line of its volume at its node.
     Waiting,
     /// Held in the node's second line: a further shot, or a client's repeat whose due time has passed.
-    Again,
-    Out,
+    Retry,
+    InFlight,
     /// Answered; kept only while a shot has no outcome. Also before the first change.
     #[default]
-    Over,
+    Finished,
 }
 
 #[derive(Default)]
@@ -44,7 +44,7 @@
 
 /// What is known of the node that holds one block, and what waits for it.
 #[derive(Default)]
-pub struct Post {
+pub struct NodeState {
     pub node: Option<NodeId>,
     /// Up to when it may be sent to: without end while ready.
     pub until: f64,
@@ -68,26 +68,26 @@
     /// When answers last told what others used of a volume.
     pub told: BTreeMap<VolumeId, f64>,
     /// Completion gaps and delays, each against its estimate.
-    pub gaps: Ring,
-    pub delays: Ring,
+    pub gaps: SlidingWindow,
+    pub delays: SlidingWindow,
     /// Delays against their due times, of the last half second, and with those of time-outs of three seconds.
-    pub strain: Ring,
-    pub stays: Ring,
+    pub strain: SlidingWindow,
+    pub stays: SlidingWindow,
     /// Stays that others measured of late.
-    pub others: Ring,
+    pub others: SlidingWindow,
     /// Shots that timed out, of all that ended.
-    pub lost: Ring,
+    pub lost: SlidingWindow,
     /// Units sent to it over the window of the rule on cold nodes.
-    pub slow_start_sent: Ring,
+    pub slow_start_sent: SlidingWindow,
     /// Units saved up for it while it is cold, and up to when.
     pub saved: Option<(f64, f64)>,
     /// Units that it settled while warm, and how many a second that was up to its last answer then.
-    pub settled: Ring,
+    pub settled: SlidingWindow,
     pub earlier_rate: f64,
     pub earlier_rate_at: f64,
 }
 
-impl Post {
+impl NodeState {
     pub fn held(&self) -> f64 {
         (self.lines.values().map(VecDeque::len).sum::<usize>() + self.again.len()) as f64
     }
@@ -98,19 +98,19 @@
     pub plan: PlanId,
     pub initiators: f64,
     pub reserve: f64,
-    pub limit: Store,
+    pub limit: TokenBucket,
     pub filled_at: f64,
     /// Its limit, as initiators that lend each other know it.
-    pub account: Account,
-    pub usage: Ring,
-    pub theirs: Ring,
+    pub limit_id: LimitId,
+    pub usage: SlidingWindow,
+    pub theirs: SlidingWindow,
     /// Node time a second for all initiators, by the meter.
-    pub metered: Ring,
+    pub metered: SlidingWindow,
     pub part: f64,
 }
 
 #[derive(Default)]
-pub struct Turn {
+pub struct KeyQueue {
     pub line: VecDeque<TransactionId>,
     pub quiet_until: f64,
 }
--- a/src/store.rs
+++ b/src/token_bucket.rs
@@ -4,9 +4,9 @@
 /// Units that came (positive) or went (negative), and up to when they count. A loan that went is of negative units
 /// until it has surely lapsed where it went to; one that came is of positive units until it lapses here.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Moved(Vec<(f64, f64)>);
+pub struct Loans(Vec<(f64, f64)>);
 
-impl Moved {
+impl Loans {
     pub fn add(&mut self, units: f64, until: f64) {
         self.0.push((units, until));
     }
@@ -17,7 +17,7 @@
     }
 
     /// Forgets what no longer counts.
-    pub fn lapse(&mut self, now: f64) {
+    pub fn expire(&mut self, now: f64) {
         self.0.retain(|(_, until)| now < *until);
     }
 
@@ -28,43 +28,43 @@
 
 /// A store that fills at a rate (units a second) up to a cap (units), which loans raise and lower.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Store {
+pub struct TokenBucket {
     pub level: f64,
     pub filled_at: f64,
-    pub moved: Moved,
+    pub loans: Loans,
 }
 
-impl Store {
+impl TokenBucket {
     /// Piece by piece from one end of a loan to the next: a process that had no turn for long keeps nothing over
     /// an end that passed meanwhile.
-    pub fn fill(&mut self, now: f64, rate: f64, cap: f64) {
+    pub fn refill(&mut self, now: f64, rate: f64, cap: f64) {
         loop {
-            let at = self.moved.first_end().min(now);
-            let held = (cap + self.moved.net(at.next_down())).max(0.0);
+            let at = self.loans.first_end().min(now);
+            let held = (cap + self.loans.net(at.next_down())).max(0.0);
             self.level = (self.level + rate * (at - self.filled_at).max(0.0)).min(held);
             self.filled_at = self.filled_at.max(at);
-            self.moved.lapse(at);
+            self.loans.expire(at);
             if at >= now {
-                self.level = self.level.min((cap + self.moved.net(now)).max(0.0));
+                self.level = self.level.min((cap + self.loans.net(now)).max(0.0));
                 return;
             }
         }
     }
 
     /// All that it is, for an explorer to tell two states apart by.
-    pub fn state(&self, out: &mut Vec<u8>) {
-        let moved = self.moved.0.iter().flat_map(|(units, until)| [*units, *until]);
+    pub fn encode_state(&self, out: &mut Vec<u8>) {
+        let moved = self.loans.0.iter().flat_map(|(units, until)| [*units, *until]);
         let all = [self.level, self.filled_at].into_iter().chain(moved);
         all.for_each(|value| out.extend(value.to_bits().to_le_bytes()));
     }
 
     /// Moves units in or out; false, and nothing done, where there are too few.
-    pub fn shift(&mut self, units: f64, until: f64) -> bool {
+    pub fn transfer(&mut self, units: f64, until: f64) -> bool {
         if self.level + units < 0.0 {
             return false;
         }
         self.level += units;
-        self.moved.add(units, until);
+        self.loans.add(units, until);
         true
     }
 }
@@ -83,16 +83,16 @@
     #[test_case(-3.0, 4.0, 3.0; "from where it fills again")]
     #[test_case(-3.0, 9.0, 4.0; "up to the cap")]
     fn loans_end(units: f64, at: f64, level: f64) {
-        let mut store = Store { level: 4.0, ..Store::default() };
-        assert!(store.shift(units, 2.0));
-        store.fill(at, 1.0, 4.0);
+        let mut store = TokenBucket { level: 4.0, ..TokenBucket::default() };
+        assert!(store.transfer(units, 2.0));
+        store.refill(at, 1.0, 4.0);
         assert_eq!(store.level, level);
     }
 
     #[test]
     fn nothing_goes_that_is_not_there() {
-        let mut store = Store { level: 1.0, ..Store::default() };
-        assert!(!store.shift(-2.0, 9.0));
-        assert_eq!(store, Store { level: 1.0, ..Store::default() });
+        let mut store = TokenBucket { level: 1.0, ..TokenBucket::default() };
+        assert!(!store.transfer(-2.0, 9.0));
+        assert_eq!(store, TokenBucket { level: 1.0, ..TokenBucket::default() });
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -22,32 +22,32 @@
 /// What initiators share and may lend each other parts of: a volume's limit. The same at all, without talk: FNV-1a of
 /// the volume's name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Account(pub u64);
+pub struct LimitId(pub u64);
 
-impl Account {
-    pub fn of_limit(volume: &VolumeId) -> Account {
+impl LimitId {
+    pub fn of_volume(volume: &VolumeId) -> LimitId {
         let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
-        Account(volume.0.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix))
+        LimitId(volume.0.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix))
     }
 }
 
 /// How an account stands at one initiator, units.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
-    pub account: Account,
+pub struct LimitBalance {
+    pub limit_id: LimitId,
     /// What it can do without for now.
     pub spare: f64,
     /// What waits for more than is there.
-    pub wants: f64,
+    pub shortfall: f64,
 }
 
 /// What other initiators had to say.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shared {
+pub enum PeerReport {
     /// Their answers from the node with this block: mean stay in due times, how many, and seconds ago.
-    Stay(BlockId, f64, f64, f64),
+    Latency(BlockId, f64, f64, f64),
     /// Units of an account come (above zero) or go, and count up to this clock time.
-    Units(Account, f64, f64),
+    Units(LimitId, f64, f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 /// Which nodes drop a repeat of a tagged transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -69,32 +69,32 @@
 pub enum Outcome {
     Settled,
     Failed,
-    Full,
+    QueueFull,
     TimedOut,
     Unreachable,
     Reset,
     Cancelled,
-    Moot,
+    Abandoned,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum NodeCondition {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
+pub enum ListKind {
     Changes,
-    Whole,
+    Complete,
     Cached,
-    Failed,
+    FetchFailed,
 }
 
 /// A node as the register lists it: its block, its state, when it started (clock time, seconds; 0: long ago)
 /// and its size against that of other nodes (no unit; 0: not told).
-pub type Listed = (NodeId, BlockId, Condition, f64, f64);
+pub type ListedNode = (NodeId, BlockId, NodeCondition, f64, f64);
 
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
@@ -102,27 +102,27 @@
     pub bands: Vec<Band>,
     pub plans: Vec<Plan>,
     pub mean_units: f64,
-    pub young_units: f64,
+    pub cold_start_units: f64,
     /// Answers tell how much a volume used in the last finished period, in percent of its plan's nominal.
-    pub metered: bool,
+    pub reports_usage: bool,
     /// Answers tell how much a node served the volume for others since its last answer.
-    pub tells_others: bool,
+    pub reports_others_usage: bool,
     pub may_cancel: bool,
-    pub most_shots: u32,
-    pub advises_return: bool,
-    pub longest_return: f64,
-    pub must_ask: bool,
+    pub max_shots: u32,
+    pub advises_retry: bool,
+    pub max_retry_after: f64,
+    pub must_subscribe: bool,
     /// How long a node may be sent to once it is known to drain.
     pub drain_grace: f64,
     pub start_capacity: f64,
-    pub cold_for: f64,
-    pub fall_multiple: f64,
-    pub overload_for: f64,
-    pub key_quiet: f64,
+    pub warm_up: f64,
+    pub overload_multiple: f64,
+    pub overload_window: f64,
+    pub key_quiet_period: f64,
     /// How long units may be gone that an earlier life of this initiator lent; 0 where initiators do not talk.
-    pub hold: f64,
+    pub earlier_loans_hold: f64,
     /// Share of the transactions taken, free shots, look-back; absent where no budget is stated.
-    pub further: Option<(f64, f64, f64)>,
+    pub retry_budget: Option<(f64, f64, f64)>,
 }
 
 #[derive(Clone, Debug)]
@@ -130,8 +130,8 @@
     pub due: f64,
     pub benefit: f64,
     pub repeat: Repeat,
-    pub scope: Scope,
-    pub window: f64,
+    pub dedup_scope: DedupScope,
+    pub dedup_window: f64,
     pub ordered: bool,
 }
 
@@ -143,22 +143,22 @@
     /// Units a second that such a volume is sized for.
     pub nominal: f64,
     pub weight: f64,
-    pub factor: f64,
+    pub benefit_factor: f64,
 }
 
 /// The actions, one method each. Times are seconds; `stop_at` is a clock time, 0 for the outer limit.
 pub trait Outbox {
     fn send(&mut self, transaction: TransactionId, stop_at: f64, node: &NodeId);
     fn cancel(&mut self, transaction: TransactionId, shot: u32);
-    fn decline(&mut self, transaction: TransactionId, come_back: f64);
+    fn decline(&mut self, transaction: TransactionId, retry_after: f64);
     fn scrap(&mut self, transaction: TransactionId);
     fn set_timer(&mut self, after: f64, tag: u64);
     fn subscribe(&mut self, on: bool);
-    fn fetch_list(&mut self);
+    fn fetch_node_list(&mut self);
     fn probe(&mut self, node: &NodeId);
     fn close(&mut self, node: &NodeId);
-    fn tell(&mut self, initiator: Option<u64>, payload: &[u8]);
+    fn send_to_peer(&mut self, initiator: Option<u64>, payload: &[u8]);
     /// An answer's stay at the node with this block, in due times, for others that may want to know.
-    fn seen(&mut self, _block: BlockId, _stay: f64) {}
+    fn latency_observed(&mut self, _block: BlockId, _latency_ratio: f64) {}
     fn log(&mut self, text: &str);
 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,8 +4,8 @@
 
 use helper::{settings, Rig};
 use quaypath::types::{
-    Condition::*,
-    ListScope::{Changes, Whole},
+    ListKind::{Changes, Complete},
+    NodeCondition::*,
     Outcome::*,
     *,
 };
@@ -32,9 +32,9 @@
 fn nothing_is_said_or_sent_after_the_end() {
     let mut rig = one_node(settings());
     rig.take(1, 0, 1, 2.0, Some(1)).seen();
-    rig.brain.lapsed(100.1, TransactionId(1), &mut rig.log);
+    rig.brain.client_cancelled(100.1, TransactionId(1), &mut rig.log);
     rig.at(100.2).back(1, "a", Failed).run(103.0);
-    rig.brain.lapsed(103.0, TransactionId(1), &mut rig.log);
+    rig.brain.client_cancelled(103.0, TransactionId(1), &mut rig.log);
     assert_eq!(rig.seen(), ["cancel 1 0"]);
 }
 
@@ -43,7 +43,7 @@
 #[test_case(1, Failed, "scrap 1" ; "once only after an error")]
 #[test_case(1, TimedOut, "scrap 1" ; "once only after a time out")]
 #[test_case(1, Reset, "scrap 1" ; "once only after a reset")]
-#[test_case(1, Full, "send 1 a" ; "once only refused unseen")]
+#[test_case(1, QueueFull, "send 1 a" ; "once only refused unseen")]
 #[test_case(1, Unreachable, "send 1 a" ; "once only without a connection")]
 #[test_case(2, Failed, "send 1 a" ; "tagged inside its cell")]
 #[test_case(3, Failed, "send 1 a" ; "tagged everywhere")]
@@ -73,7 +73,7 @@
     assert_eq!(rig.seen(), ["send 1 a"]);
     rig.at(100.02).back(1, "a", first).run(100.1);
     let second = rig.seen().pop().unwrap();
-    rig.back(1, &second[7..], Full).run(100.3);
+    rig.back(1, &second[7..], QueueFull).run(100.3);
     assert_eq!((second.as_str(), rig.seen().len()), (last, 1));
     if first == Failed {
         assert_eq!(second, "send 1 a");
@@ -84,9 +84,9 @@
 // Found on sockets: a block whose node drains has none for seconds, and the node still serves.
 #[test_case(Changes, Draining, 1.1, 1 ; "news of now: sent to in a part of the grace")]
 #[test_case(Changes, Draining, 1.3, 0 ; "not near its end, so that no shot leaves past it")]
-#[test_case(Whole, Draining, 0.1, 0 ; "a whole list does not tell since when")]
-#[test_case(Changes, Gone, 0.1, 0 ; "gone")]
-fn what_leaves_for_a_node_that_drains(scope: ListScope, condition: Condition, after: f64, sent: usize) {
+#[test_case(Complete, Draining, 0.1, 0 ; "a whole list does not tell since when")]
+#[test_case(Changes, Removed, 0.1, 0 ; "gone")]
+fn what_leaves_for_a_node_that_drains(scope: ListKind, condition: NodeCondition, after: f64, sent: usize) {
     let mut rig = one_node(Settings { drain_grace: 2.0, ..settings() });
     rig.at(101.0).list(scope, &[("a", 1, condition, 0.0)]);
     // Told again: the grace does not begin anew.
@@ -96,12 +96,12 @@
 }
 
 #[test_case(Changes, &[("a", 1, Draining, 0.0)], 0 ; "draining")]
-#[test_case(Changes, &[("a", 1, Gone, 0.0)], 0 ; "gone")]
-#[test_case(Whole, &[("b", 2, Ready, 0.0)], 0 ; "absent from a whole list")]
+#[test_case(Changes, &[("a", 1, Removed, 0.0)], 0 ; "gone")]
+#[test_case(Complete, &[("b", 2, Ready, 0.0)], 0 ; "absent from a whole list")]
 #[test_case(Changes, &[("b", 2, Ready, 0.0)], 1 ; "absent from the changes only")]
-#[test_case(ListScope::Failed, &[], 1 ; "a failed call changes nothing")]
-#[test_case(Changes, &[("c", 1, Ready, 0.0), ("a", 1, Gone, 0.0)], 1 ; "replaced, the old one gone after")]
-fn after_this_list(scope: ListScope, entries: &[(&str, i64, Condition, f64)], sends: usize) {
+#[test_case(ListKind::FetchFailed, &[], 1 ; "a failed call changes nothing")]
+#[test_case(Changes, &[("c", 1, Ready, 0.0), ("a", 1, Removed, 0.0)], 1 ; "replaced, the old one gone after")]
+fn after_this_list(scope: ListKind, entries: &[(&str, i64, NodeCondition, f64)], sends: usize) {
     let mut rig = one_node(settings());
     rig.list(scope, entries).take(1, 0, 1, 2.0, Some(1));
     let seen = rig.seen();
@@ -110,9 +110,9 @@
 
 #[test]
 fn a_failed_call_to_the_register_is_repeated_after_a_wait() {
-    let mut rig = Rig::new(100.0, Settings { must_ask: true, ..settings() });
+    let mut rig = Rig::new(100.0, Settings { must_subscribe: true, ..settings() });
     assert_eq!(rig.seen(), ["subscribe true"]);
-    rig.list(ListScope::Failed, &[]);
+    rig.list(ListKind::FetchFailed, &[]);
     assert!(rig.seen().is_empty());
     rig.run(102.0);
     assert_eq!(rig.seen(), ["subscribe true"]);
@@ -233,7 +233,7 @@
         starts.iter().enumerate().map(|(at, start)| (format!("n{at}"), at as i64, *start)).collect();
     let entries: Vec<_> =
         nodes.iter().map(|(name, block, start)| (name.as_str(), *block, Ready, *start)).collect();
-    rig.at(100.1).list(Whole, &entries).seen();
+    rig.at(100.1).list(Complete, &entries).seen();
     rig.take(1, 3, 2, 2.0, None);
     assert_eq!(rig.seen().join(" "), first);
 }
@@ -260,12 +260,12 @@
 #[test_case(Reset, 100.15 ; "after a reset the key rests")]
 #[test_case(TimedOut, 100.15 ; "after a time out the key rests")]
 fn the_next_of_a_key_is_sent(outcome: Outcome, from: f64) {
-    let mut rig = one_node(Settings { most_shots: 1, ..settings() });
+    let mut rig = one_node(Settings { max_shots: 1, ..settings() });
     rig.take_key(1, 2, 1, 1.0, Some(1), "k").take_key(2, 2, 1, 1.0, Some(1), "k");
     assert_eq!(rig.seen(), ["send 1 a"]);
     rig.at(100.05).back(1, "a", outcome);
     rig.run(from - 0.01).seen().iter().for_each(|line| assert!(outcome == Settled || line != "send 2 a"));
-    let mut rig = one_node(Settings { most_shots: 1, ..settings() });
+    let mut rig = one_node(Settings { max_shots: 1, ..settings() });
     rig.take_key(1, 2, 1, 1.0, Some(1), "k").take_key(2, 2, 1, 1.0, Some(1), "k");
     rig.at(100.05).back(1, "a", outcome).run(from + 0.02);
     assert!(rig.seen().contains(&"send 2 a".to_string()));
@@ -275,7 +275,7 @@
 fn a_key_waits_for_a_shot_that_outlives_its_transaction() {
     let mut rig = one_node(settings());
     rig.take_key(1, 2, 1, 1.0, Some(1), "k").seen();
-    rig.brain.lapsed(100.05, TransactionId(1), &mut rig.log);
+    rig.brain.client_cancelled(100.05, TransactionId(1), &mut rig.log);
     rig.at(100.06).take_key(2, 2, 1, 1.0, Some(1), "k");
     assert_eq!(rig.seen(), ["cancel 1 0"]);
     assert_eq!(rig.at(100.1).back(1, "a", Settled).seen(), ["send 2 a"]);
@@ -285,7 +285,7 @@
 #[test_case(5, 1 ; "few taken")]
 #[test_case(25, 3 ; "more taken")]
 fn further_shots(taken: u64, most: usize) {
-    let mut rig = one_node(Settings { further: Some((0.1, 1.0, 5.0)), most_shots: 9, ..settings() });
+    let mut rig = one_node(Settings { retry_budget: Some((0.1, 1.0, 5.0)), max_shots: 9, ..settings() });
     rig.take(1, 0, 2, 1.0, Some(1));
     (2..=taken).for_each(|id| {
         rig.take(id, 0, 2, 1.0, Some(9));
@@ -316,7 +316,7 @@
 fn a_backlog_after_a_stall_is_answered_once_each() {
     let mut rig = Rig::new(100.0, settings());
     let names: Vec<_> = (0..300).map(|at| (format!("n{at}"), at)).collect();
-    rig.list(Whole, &names.iter().map(|(name, at)| (name.as_str(), *at, Ready, 0.0)).collect::<Vec<_>>());
+    rig.list(Complete, &names.iter().map(|(name, at)| (name.as_str(), *at, Ready, 0.0)).collect::<Vec<_>>());
     for id in 0..4000 {
         rig.take(id, id as usize % 4, id as usize % 3, 2.0, Some(id as i64 % 310));
     }
@@ -350,7 +350,7 @@
     let first = flood(&mut rig, 110.0);
     assert!(first <= 10, "no more than an even part of the burst: {first}");
     rig.run(300.0).take(900, 1, 1, 1.0, Some(1)).seen();
-    assert_eq!(rig.brain.accounts().0, 1, "the limited volume is let go, the one just used is there");
+    assert_eq!(rig.brain.tracked_counts().0, 1, "the limited volume is let go, the one just used is there");
     let again = flood(&mut rig, 301.0);
     assert!(again <= 10, "no more than an even part of the burst: {again}");
     // One that is used again before its bucket is full must be the same account.
@@ -367,9 +367,21 @@
         let (plan, block, log) = (Some(PlanId(0)), Some(BlockId(1)), &mut rig.log);
         log.now = now;
         let id = TransactionId(id);
-        rig.brain.taken(now, id, 2.0, plan, BandId(2), Some(extent), 2.0, 1.0, volume, block, log);
+        rig.brain.transaction_received(
+            now,
+            id,
+            2.0,
+            plan,
+            BandId(2),
+            Some(extent),
+            2.0,
+            1.0,
+            volume,
+            block,
+            log,
+        );
         rig.run(now + 0.9).back(id.0, "a", Settled).seen();
     }
-    let (volumes, keys) = rig.brain.accounts();
+    let (volumes, keys) = rig.brain.tracked_counts();
     assert!(volumes < 200 && keys < 200, "{volumes} volumes, {keys} keys");
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,7 +1,7 @@
 //! An initiator under test: settings, a recorder of actions, and short ways to send it events.
 #![allow(dead_code)]
 
-use quaypath::brain::Brain;
+use quaypath::scheduler::Scheduler;
 use quaypath::types::*;
 use std::sync::Arc;
 
@@ -33,10 +33,10 @@
     fn subscribe(&mut self, on: bool) {
         self.lines.push(format!("subscribe {on}"));
     }
-    fn fetch_list(&mut self) {}
+    fn fetch_node_list(&mut self) {}
     fn probe(&mut self, _node: &NodeId) {}
     fn close(&mut self, _node: &NodeId) {}
-    fn tell(&mut self, _initiator: Option<u64>, _payload: &[u8]) {}
+    fn send_to_peer(&mut self, _initiator: Option<u64>, _payload: &[u8]) {}
     fn log(&mut self, _text: &str) {}
 }
 
@@ -44,7 +44,14 @@
 /// time, whose shot keeps its credit for 20 s.
 /// Plan 0 has a limit and no reserve, 1 a reserve and weight 1, 2 no reserve and weight 4.
 pub fn settings() -> Settings {
-    let band = |repeat, scope, ordered| Band { due: 0.4, benefit: 2.0, repeat, scope, window: 1.0, ordered };
+    let band = |repeat, scope, ordered| Band {
+        due: 0.4,
+        benefit: 2.0,
+        repeat,
+        dedup_scope: scope,
+        dedup_window: 1.0,
+        ordered,
+    };
     let plan = |limit, reservation, weight| Plan {
         limit,
         burst: 2.0 * limit,
@@ -55,30 +62,30 @@
     Settings {
         initiators: 2.0,
         bands: vec![
-            band(Repeat::Repeatable, Scope::All, false),
-            band(Repeat::OnceOnly, Scope::All, false),
-            band(Repeat::Tagged, Scope::Cell, true),
-            band(Repeat::Tagged, Scope::All, false),
-            Band { due: 60.0, ..band(Repeat::OnceOnly, Scope::All, false) },
+            band(Repeat::Repeatable, DedupScope::All, false),
+            band(Repeat::OnceOnly, DedupScope::All, false),
+            band(Repeat::Tagged, DedupScope::Cell, true),
+            band(Repeat::Tagged, DedupScope::All, false),
+            Band { due: 60.0, ..band(Repeat::OnceOnly, DedupScope::All, false) },
         ],
         plans: vec![plan(10.0, 0.0, 1.0), plan(0.0, 20.0, 1.0), plan(0.0, 0.0, 4.0)],
         mean_units: 2.0,
-        young_units: 8.0,
-        metered: true,
-        tells_others: true,
+        cold_start_units: 8.0,
+        reports_usage: true,
+        reports_others_usage: true,
         may_cancel: true,
-        most_shots: 3,
-        advises_return: true,
-        longest_return: 0.5,
-        must_ask: false,
+        max_shots: 3,
+        advises_retry: true,
+        max_retry_after: 0.5,
+        must_subscribe: false,
         drain_grace: 0.0,
         start_capacity: 0.2,
-        cold_for: 10.0,
-        fall_multiple: 2.0,
-        overload_for: 1.0,
-        key_quiet: 0.1,
-        hold: 0.0,
-        further: None,
+        warm_up: 10.0,
+        overload_multiple: 2.0,
+        overload_window: 1.0,
+        key_quiet_period: 0.1,
+        earlier_loans_hold: 0.0,
+        retry_budget: None,
     }
 }
 
@@ -86,7 +93,7 @@
 pub const LONG: usize = 4;
 
 pub struct Rig {
-    pub brain: Brain,
+    pub brain: Scheduler,
     pub log: Log,
     /// Of each transaction's volume, and what each answer tells.
     pub initiators: f64,
@@ -108,7 +115,7 @@
 
     pub fn seeded(now: f64, seed: u64, set: Settings) -> Self {
         let mut log = Log { now, ..Log::default() };
-        let brain = Brain::start(now, seed, set, &mut log);
+        let brain = Scheduler::start(now, seed, set, &mut log);
         Rig {
             brain,
             log,
@@ -127,15 +134,15 @@
     }
 
     /// Entries are (name, block, condition, start time).
-    pub fn list(&mut self, scope: ListScope, entries: &[(&str, i64, Condition, f64)]) -> &mut Self {
+    pub fn list(&mut self, scope: ListKind, entries: &[(&str, i64, NodeCondition, f64)]) -> &mut Self {
         let entries: Vec<_> =
             entries.iter().map(|e| (node(e.0), BlockId(e.1), e.2, e.3, self.size)).collect();
-        self.brain.list_known(self.log.now, scope, &entries, &mut self.log);
+        self.brain.node_list_received(self.log.now, scope, &entries, &mut self.log);
         self
     }
 
     pub fn ready(&mut self, name: &str, block: i64) -> &mut Self {
-        self.list(ListScope::Changes, &[(name, block, Condition::Ready, 0.0)])
+        self.list(ListKind::Changes, &[(name, block, NodeCondition::Ready, 0.0)])
     }
 
     pub fn take(&mut self, id: u64, band: usize, plan: usize, units: f64, block: Option<i64>) -> &mut Self {
@@ -149,7 +156,7 @@
         let (plan, band, block) = (Some(PlanId(plan)), BandId(band), block.map(BlockId));
         let (now, id, hosts) = (self.log.now, TransactionId(id), self.initiators);
         let log = &mut self.log;
-        self.brain.taken(now, id, hosts, plan, band, extent, 2.0, units, volume, block, log);
+        self.brain.transaction_received(now, id, hosts, plan, band, extent, 2.0, units, volume, block, log);
         self
     }
 
@@ -157,7 +164,7 @@
         let (id, last) = (TransactionId(id), outcome == Outcome::Settled);
         let (now, delay, used, others) = (self.log.now, self.delay, self.used, self.others);
         let (node, log, report) = (node(name), &mut self.log, &self.report);
-        self.brain.returned(now, id, &node, 0, used, delay, last, outcome, others, report, log);
+        self.brain.shot_completed(now, id, &node, 0, used, delay, last, outcome, others, report, log);
         self
     }
 
@@ -168,7 +175,7 @@
             let Some(&(at, tag)) = self.log.timers.first().filter(|timer| timer.0 <= until) else { break };
             self.log.timers.remove(0);
             self.log.now = self.log.now.max(at) + 1e-6;
-            self.brain.rang(self.log.now, tag, &mut self.log);
+            self.brain.timer_fired(self.log.now, tag, &mut self.log);
         }
         self.log.now = until;
         self
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,8 +3,8 @@
 mod helper;
 
 use helper::{settings, Rig, LONG};
-use quaypath::ring::Ring;
-use quaypath::types::{Condition::*, ListScope::Cached, Outcome::*, *};
+use quaypath::sliding_window::SlidingWindow;
+use quaypath::types::{ListKind::Cached, NodeCondition::*, Outcome::*, *};
 use test_case::test_case;
 
 /// A node whose bound is one shot, so that what waits shows its order.
@@ -119,7 +119,7 @@
     let late = |rig: &mut Rig, id: u64, budget: f64| {
         let (plan, band) = (Some(PlanId(2)), BandId(0));
         let id = TransactionId(id);
-        rig.brain.taken(
+        rig.brain.transaction_received(
             now,
             id,
             2.0,
@@ -146,9 +146,9 @@
 
 #[test_case(Settings { plans: vec![Plan::default(); 3],
     ..settings() } ; "plans without reserve or weight")]
-#[test_case(Settings { mean_units: 0.0, young_units: 0.0, start_capacity: 0.0, cold_for: 0.0, overload_for: 0.0,
-    key_quiet: 0.0, initiators: 1.0, ..settings() } ; "figures absent")]
-#[test_case(Settings { most_shots: 1, advises_return: false, must_ask: true, ..settings() } ; "one shot, no advice")]
+#[test_case(Settings { mean_units: 0.0, cold_start_units: 0.0, start_capacity: 0.0, warm_up: 0.0, overload_window: 0.0,
+    key_quiet_period: 0.0, initiators: 1.0, ..settings() } ; "figures absent")]
+#[test_case(Settings { max_shots: 1, advises_retry: false, must_subscribe: true, ..settings() } ; "one shot, no advice")]
 fn other_deployments_are_answered_too(set: Settings) {
     let mut rig = Rig::new(0.0, set);
     rig.list(Cached, &[("a", 1, Ready, 0.0), ("b", 2, Ready, -3.0)]);
@@ -162,7 +162,7 @@
             let mut parts = line.split(' ');
             let (what, id) = (parts.next().unwrap(), parts.next().unwrap_or("").parse::<u64>());
             if what == "send" {
-                let outcomes = [Settled, Failed, Full, TimedOut, Reset, Unreachable];
+                let outcomes = [Settled, Failed, QueueFull, TimedOut, Reset, Unreachable];
                 let outcome = outcomes[turn as usize % 6];
                 let name = parts.next().unwrap().to_string();
                 if outcome == Settled {
@@ -182,7 +182,7 @@
 #[test_case(&[(0.0, 1.0), (0.6, 2.0)], 1.1, 2.0 ; "the oldest bucket is used again")]
 #[test_case(&[(0.0, 1.0)], 50.0, 0.0 ; "long after")]
 fn a_ring_of_two_half_seconds(added: &[(f64, f64)], now: f64, sum: f64) {
-    let mut ring = Ring::new(0.5, 2);
+    let mut ring = SlidingWindow::new(0.5, 2);
     added.iter().for_each(|(at, amount)| ring.add(*at, *amount, 1.0));
     assert_eq!(ring.sum(now), sum);
 }
@@ -314,7 +314,7 @@
 fn the_shot_of_a_caller_who_left_is_cancelled(may_cancel: bool, seen: &[&str]) {
     let mut rig = Rig::new(100.0, Settings { may_cancel, ..settings() });
     rig.ready("a", 1).take(1, 0, 2, 1.0, Some(1)).seen();
-    rig.brain.lapsed(100.1, TransactionId(1), &mut rig.log);
+    rig.brain.client_cancelled(100.1, TransactionId(1), &mut rig.log);
     assert_eq!(rig.seen(), seen);
 }
 
@@ -327,7 +327,7 @@
     meter: fn(f64) -> f64, units: std::ops::RangeInclusive<u64>,
 ) {
     // 20 units a second reserved, 40 asked; what has no reserve finds no credit.
-    let mut set = Settings { initiators: 20.0, tells_others: false, ..settings() };
+    let mut set = Settings { initiators: 20.0, reports_others_usage: false, ..settings() };
     set.plans[1].nominal = 20.0;
     let mut rigs = [1, 2].map(|seed| Rig::seeded(100.0, seed, set.clone()));
     let mut used: Vec<(f64, f64)> = Vec::new();
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -10,7 +10,7 @@
 
 use helper::{node, settings};
 use nanorand::{Rng, WyRand};
-use quaypath::brain::Brain;
+use quaypath::scheduler::Scheduler;
 use quaypath::types::*;
 use test_case::test_case;
 
@@ -98,10 +98,10 @@
         self.timers.push((after, tag));
     }
     fn subscribe(&mut self, _: bool) {}
-    fn fetch_list(&mut self) {}
+    fn fetch_node_list(&mut self) {}
     fn probe(&mut self, _: &NodeId) {}
     fn close(&mut self, _: &NodeId) {}
-    fn tell(&mut self, _: Option<u64>, _: &[u8]) {}
+    fn send_to_peer(&mut self, _: Option<u64>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -124,7 +124,7 @@
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     /// Each initiator, and how often it was started.
-    brains: Vec<(Brain, u32)>,
+    brains: Vec<(Scheduler, u32)>,
     volumes: Vec<Volume>,
     /// By initiator, before and after the start: what it is asked for a second, volume and block, summed up.
     demand: [Vec<Vec<(f64, usize, usize)>>; 2],
@@ -159,12 +159,12 @@
         Settings {
             initiators: self.told as f64,
             mean_units: MEAN,
-            young_units: case.bears * MEAN,
+            cold_start_units: case.bears * MEAN,
             start_capacity: FIRST,
-            cold_for: COLD_FOR,
-            overload_for: WINDOW,
-            fall_multiple: MULTIPLE,
-            metered: false,
+            warm_up: COLD_FOR,
+            overload_window: WINDOW,
+            overload_multiple: MULTIPLE,
+            reports_usage: false,
             ..set
         }
     }
@@ -263,16 +263,16 @@
         self.queue.push(Reverse((micros(at), self.count, event)));
     }
 
-    fn entry(&self, block: usize) -> Listed {
+    fn entry(&self, block: usize) -> ListedNode {
         let (life, started) = if block == WATCHED && self.replaced { (1, START) } else { (0, 0.0) };
-        (node(&format!("n{block}.{life}")), BlockId(block as i64), Condition::Ready, started, 1.0)
+        (node(&format!("n{block}.{life}")), BlockId(block as i64), NodeCondition::Ready, started, 1.0)
     }
 
-    fn start(&mut self, now: f64) -> Brain {
+    fn start(&mut self, now: f64) -> Scheduler {
         let mut out = Sends::default();
-        let mut brain = Brain::start(now, self.chance.generate(), self.settings(), &mut out);
-        let entries: Vec<Listed> = (0..self.case.nodes).map(|block| self.entry(block)).collect();
-        brain.list_known(now, ListScope::Whole, &entries, &mut out);
+        let mut brain = Scheduler::start(now, self.chance.generate(), self.settings(), &mut out);
+        let entries: Vec<ListedNode> = (0..self.case.nodes).map(|block| self.entry(block)).collect();
+        brain.node_list_received(now, ListKind::Complete, &entries, &mut out);
         brain
     }
 
@@ -324,7 +324,7 @@
             (VolumeId(Arc::from(format!("v{volume}"))), self.volumes[volume].hosts.len() as f64);
         let (extent, plan) = (Some(ExtentId(Arc::from(format!("e{}", id.0)))), Some(PlanId(2)));
         let (band, block, brain) = (BandId(0), Some(BlockId(block as i64)), &mut self.brains[one].0);
-        brain.taken(now, id, hosts, plan, band, extent, 1.2, units, name, block, out);
+        brain.transaction_received(now, id, hosts, plan, band, extent, 1.2, units, name, block, out);
     }
 
     fn run(&mut self, until: f64) {
@@ -343,7 +343,7 @@
                 Event::Replaced(one) => {
                     self.replaced = true;
                     let entry = self.entry(WATCHED);
-                    self.brains[one].0.list_known(now, ListScope::Changes, &[entry], &mut out);
+                    self.brains[one].0.node_list_received(now, ListKind::Changes, &[entry], &mut out);
                     one
                 }
                 Event::Changed(one) => {
@@ -357,14 +357,14 @@
                 }
                 Event::Rang(one, life, tag) => {
                     if self.brains[one].1 == life {
-                        self.brains[one].0.rang(now, tag, &mut out);
+                        self.brains[one].0.timer_fired(now, tag, &mut out);
                     }
                     one
                 }
                 Event::Back(one, life, id, block) => {
                     if self.brains[one].1 == life {
                         let name = node(&format!("n{block}.{}", u8::from(block == WATCHED && self.replaced)));
-                        self.brains[one].0.returned(
+                        self.brains[one].0.shot_completed(
                             now,
                             TransactionId(id),
                             &name,
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -8,19 +8,19 @@
 use quaypath::types::*;
 use test_case::test_case;
 
-fn limit() -> Account {
-    Account::of_limit(&VolumeId(Arc::from("volume0")))
+fn limit() -> LimitId {
+    LimitId::of_volume(&VolumeId(Arc::from("volume0")))
 }
 
 impl Rig {
-    fn shared(&mut self, shared: Shared) -> bool {
+    fn shared(&mut self, shared: PeerReport) -> bool {
         let (now, log) = (self.log.now, &mut self.log);
-        self.brain.shared(now, shared, log)
+        self.brain.peer_report_received(now, shared, log)
     }
 
-    fn need(&mut self, account: Account) -> Option<Need> {
+    fn need(&mut self, account: LimitId) -> Option<LimitBalance> {
         let now = self.log.now;
-        self.brain.needs(now).into_iter().find(|need| need.account == account)
+        self.brain.limit_balances(now).into_iter().find(|need| need.limit_id == account)
     }
 }
 
@@ -41,11 +41,11 @@
     }
     assert_eq!(rig.sent(), 5);
     let need = rig.need(limit()).unwrap();
-    assert!((need.wants - 4.0).abs() < 0.1 && need.spare == 0.0, "{need:?}");
+    assert!((need.shortfall - 4.0).abs() < 0.1 && need.spare == 0.0, "{need:?}");
     let mut idle = began();
     idle.at(101.0).take(2, 0, 0, 2.0, Some(1));
     let need = idle.need(limit()).unwrap();
-    assert!(need.wants == 0.0 && need.spare > 5.0 && need.spare <= 8.0, "{need:?}");
+    assert!(need.shortfall == 0.0 && need.spare > 5.0 && need.spare <= 8.0, "{need:?}");
 }
 
 #[test_case(4.0, 101.05, 2; "units that came let it send")]
@@ -57,7 +57,7 @@
         rig.take(id, 0, 0, 2.0, Some(1));
     }
     rig.seen();
-    rig.shared(Shared::Units(limit(), units, until));
+    rig.shared(PeerReport::Units(limit(), units, until));
     assert_eq!(rig.sent(), sent);
 }
 
@@ -67,7 +67,7 @@
     let mut rig = began();
     rig.at(101.0).take(2, 0, 0, 0.0, Some(1));
     rig.seen();
-    assert_eq!(rig.shared(Shared::Units(limit(), units, 102.0)), units > -10.0);
+    assert_eq!(rig.shared(PeerReport::Units(limit(), units, 102.0)), units > -10.0);
     for id in 3..12 {
         rig.take(id, 0, 0, 2.0, Some(1));
     }
@@ -78,7 +78,7 @@
 #[test_case(0.0, 2; "where nobody lends")]
 #[test_case(1.1, 1; "until loans have lapsed")]
 fn one_that_starts_again_fills_later(hold: f64, sent: usize) {
-    let mut rig = Rig::new(100.0, Settings { hold, ..settings() });
+    let mut rig = Rig::new(100.0, Settings { earlier_loans_hold: hold, ..settings() });
     rig.ready("a", 1).at(101.5);
     for id in 2..9 {
         rig.take(id, 0, 0, 2.0, Some(1));
@@ -89,9 +89,9 @@
 #[test]
 fn nobody_lends_what_it_does_not_know() {
     let mut rig = began();
-    assert!(!rig.shared(Shared::Units(limit(), 4.0, 200.0)));
-    assert!(!rig.shared(Shared::Units(Account(1), 4.0, 200.0)));
-    assert_eq!(rig.brain.needs(101.0), []);
+    assert!(!rig.shared(PeerReport::Units(limit(), 4.0, 200.0)));
+    assert!(!rig.shared(PeerReport::Units(LimitId(1), 4.0, 200.0)));
+    assert_eq!(rig.brain.limit_balances(101.0), []);
 }
 
 /// Others' answers of a jammed node: slack waits though this initiator has none of its own; old ones say nothing.
@@ -101,7 +101,7 @@
 fn slack_waits_by_what_others_saw(stay: f64, ago: f64, sent: usize) {
     let mut rig = Rig::new(90.0, settings());
     rig.ready("a", 1).at(100.0);
-    rig.shared(Shared::Stay(BlockId(1), stay, 8.0, ago));
+    rig.shared(PeerReport::Latency(BlockId(1), stay, 8.0, ago));
     assert_eq!(rig.take(1, 0, 2, 2.0, Some(1)).sent(), sent);
 }
 
@@ -114,6 +114,6 @@
         rig.at(99.0 + 0.01 * id as f64).take(id, 0, 2, 2.0, Some(1)).back(id, "a", Outcome::Settled);
     }
     rig.at(99.4).seen();
-    rig.shared(Shared::Stay(BlockId(1), 1.5, 8.0, 0.1));
+    rig.shared(PeerReport::Latency(BlockId(1), 1.5, 8.0, 0.1));
     assert_eq!(rig.take(99, 0, 2, 2.0, Some(1)).sent(), 1);
 }
