--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -17,7 +17,7 @@
 use async_io::Async;
 use nanorand::{Rng, WyRand};
 use quaypath::types::*;
-use quaypath_fleet::signal::{Manner, Signals};
+use quaypath_fleet::signal::{SignalBehavior, Signals};
 use quaypath_fleet::MemberId;
 use quaypath_nvme::admin::{plain, Do};
 use quaypath_nvme::association::Associations;
@@ -25,26 +25,26 @@
 use quaypath_nvme::controller::{self, Controller};
 use quaypath_nvme::host::{self, Host};
 use quaypath_nvme::{status, BLOCK_SIZE};
-use quaypath_record::{apart::Keeper, Clock};
+use quaypath_record::{background::BackgroundFile, Clock};
 use quaypath_settings::{Deployment, Mode};
 use rustix::ioctl;
 use tracing::{debug, info, warn};
 
 use crate::core::{Action, Actions, Core};
 use crate::counts::Counts;
-use crate::face::Face;
-use crate::fleet::Skew;
+use crate::event_loop::{Driver, Notify};
+use crate::fleet::SkewedClock;
 use crate::index::Index;
-use crate::list::{Call, Known, List, News};
 use crate::net;
-use crate::outcome::{outcome, Ended, Progress};
-use crate::path::{Act, Event as Went, Path};
-use crate::peer::{write_out, Stuck};
+use crate::node_association::{Effect, Event as AssociationEvent, NodeAssociation};
+use crate::node_list::{ListSnapshot, ListedNode, NodeList, RegisterCall};
+use crate::outcome::{outcome, Progress, ShotEnd};
+use crate::peer::{write_output, StallDetector};
+use crate::peer_signals::Shares;
 use crate::polls::{spawn, take_summary, Peer, TaskKind};
 use crate::run::Options;
-use crate::shares::Shares;
-use crate::turns::{Notify, Turns};
-use crate::wheel::Wheel;
+use crate::subsystem::GatewaySubsystem;
+use crate::timer_wheel::TimerWheel;
 
 /// Data asked for and not yet taken by one client connection, bytes, at which its commands are turned away.
 const MOST_HELD: usize = 16 << 20;
@@ -60,10 +60,10 @@
 
 /// What happens to the core, in order.
 enum Happened {
-    List(ListKind, Vec<Known>),
+    List(ListKind, Vec<ListedNode>),
     Taken(u64),
     /// Transaction, shot, what ended it, and what the answer told.
-    Back(u64, u32, Ended, Told),
+    Back(u64, u32, ShotEnd, Told),
     Lapsed(u64),
     Rang(u64),
     /// A member's signal.
@@ -116,7 +116,7 @@
     open: HashMap<u16, u64>,
     /// Read data that its open commands will bring.
     asked: usize,
-    stuck: Stuck,
+    stall: StallDetector,
     blocked: bool,
 }
 
@@ -137,7 +137,7 @@
     /// Commands whose bytes are in `current`: where each starts and ends there, and its id.
     leaving: VecDeque<(usize, usize, u16)>,
     shots: HashMap<u16, (u64, u32)>,
-    stuck: Stuck,
+    stall: StallDetector,
     used_at: f64,
     blocked: bool,
     /// No more commands: its queue is full of ids whose late answers never came.
@@ -165,7 +165,7 @@
     waiting: VecDeque<(u64, u32)>,
     /// Since when we know that it drains or is gone.
     shut_since: Option<f64>,
-    path: Path,
+    node_association: NodeAssociation,
     /// When it started, as the list told last; 0: long ago.
     started: Option<f64>,
 }
@@ -179,7 +179,7 @@
     clock: Clock,
     now: f64,
     beat_at: f64,
-    timers: Wheel<Timer>,
+    timers: TimerWheel<Timer>,
     wake: Rc<Notify>,
     open: BTreeMap<u64, Open>,
     next_id: u64,
@@ -192,23 +192,23 @@
     nodes: BTreeMap<NodeId, Node>,
     /// Connections with output to be written at the end of this turn.
     dirty: Vec<u64>,
-    list: List,
-    keeper: Keeper,
-    pub calls: VecDeque<Call>,
+    list: NodeList,
+    keeper: BackgroundFile,
+    pub calls: VecDeque<RegisterCall>,
     pub calls_ready: Rc<Notify>,
     marks_from: u64,
     pub counts: Counts,
     /// Where initiators talk.
     shares: Option<Shares>,
-    skew: Skew,
+    skew: SkewedClock,
     executor: Weak<LocalExecutor<'static>>,
     me: Weak<RefCell<Instance>>,
 }
 
-impl Turns for Instance {
+impl Driver for Instance {
     /// The clock as it is, between turns.
     fn clock_now(&self) -> f64 {
-        self.skew.rated(self.clock.now())
+        self.skew.monotonic(self.clock.now())
     }
 
     /// Reads the clock; every turn starts with it, and the core is called with nothing else.
@@ -229,16 +229,16 @@
     }
 
     fn next_timer(&self) -> Option<f64> {
-        self.timers.next_at()
+        self.timers.next_expiry()
     }
 
-    fn ring(&mut self) {
+    fn fire_timers(&mut self) {
         let mut due = Vec::new();
-        self.timers.ring(self.now, &mut due);
+        self.timers.advance(self.now, &mut due);
         for timer in due {
             match timer {
                 Timer::Core(tag) => self.events.push_back(Happened::Rang(tag)),
-                Timer::Stop(id, shot) => self.end_shot(id, shot, Ended::TimeUp, Told::default()),
+                Timer::Stop(id, shot) => self.end_shot(id, shot, ShotEnd::TimedOut, Told::default()),
                 Timer::Grace(node) => self.grace_over(&node),
                 // Set again when what happened is settled.
                 Timer::Share => {}
@@ -259,7 +259,7 @@
         }
     }
 
-    fn wake(&self) -> Rc<Notify> {
+    fn timer_changed(&self) -> Rc<Notify> {
         self.wake.clone()
     }
 }
@@ -267,16 +267,17 @@
 impl Instance {
     pub fn start(options: &Options, executor: &Rc<LocalExecutor<'static>>) -> Rc<RefCell<Instance>> {
         let (clock, deployment) = (Clock::default(), options.deployment.clone());
-        let skew = options.fleet.as_ref().map_or_else(Skew::default, |fleet| fleet.skew.clone());
-        let now = skew.rated(clock.now());
-        let (list, told) = List::load(&options.list);
+        let skew =
+            options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
+        let now = skew.monotonic(clock.now());
+        let (list, told) = NodeList::load(&options.list_path);
         if let Some(told) = told {
             warn!(told, "the last node list cannot be read; started without");
         }
         let signals = options.fleet.as_ref().and_then(|fleet| fleet.signals.clone());
         let shares = signals.map(|figures| Shares::new(Signals::start(now, figures)));
         let mut actions = Actions(VecDeque::new(), shares.as_ref().map(|_| Vec::new()));
-        let core = (options.core)(now, options.seed, &deployment, &mut actions);
+        let core = (options.core_factory)(now, options.seed, &deployment, &mut actions);
         let known = list.known();
         info!(nodes = known.len(), "started with the last node list");
         let instance = Rc::new(RefCell::new(Instance {
@@ -288,7 +289,7 @@
             clock,
             now,
             beat_at: now,
-            timers: Wheel::new(now),
+            timers: TimerWheel::new(now),
             wake: Rc::default(),
             open: BTreeMap::new(),
             next_id: 1,
@@ -301,7 +302,7 @@
             nodes: BTreeMap::new(),
             dirty: Vec::new(),
             list,
-            keeper: Keeper::start(options.list.clone(), |path, error| {
+            keeper: BackgroundFile::start(options.list_path.clone(), |path, error| {
                 warn!(path = %path.display(), %error, "the node list is not kept");
             }),
             calls: VecDeque::new(),
@@ -415,12 +416,12 @@
 
     /// What is held of a member changed.
     pub fn holds(&mut self, member: MemberId, dead: bool) {
-        self.shares.iter_mut().for_each(|shares| shares.signals.holds(member, dead));
+        self.shares.iter_mut().for_each(|shares| shares.signals.set_member_dead(member, dead));
     }
 
     /// How this process signals from now on, by a day's script.
-    pub fn behave(&mut self, manner: Manner) {
-        self.shares.iter_mut().for_each(|shares| shares.signals.behave(manner));
+    pub fn behave(&mut self, manner: SignalBehavior) {
+        self.shares.iter_mut().for_each(|shares| shares.signals.set_behavior(manner));
     }
 
     /// Signals for members, and who waits for them.
@@ -436,7 +437,7 @@
         match action {
             Action::Send(id, stop_at, node) => self.send(id, stop_at, node),
             Action::Cancel(id, shot) => {
-                self.end_shot(id, shot, Ended::CalledOff, Told::default());
+                self.end_shot(id, shot, ShotEnd::Cancelled, Told::default());
             }
             Action::Decline(id, come_back) => {
                 let told = (come_back * 1e3).round().clamp(0.0, f64::from(u32::MAX)) as u32;
@@ -448,14 +449,16 @@
                     u64::from(self.answer(id, status::INTERNAL_ERROR | status::DNR, 0, &[]));
             }
             Action::Timer(after, tag) => self.timers.set(self.now + after.max(0.0), Timer::Core(tag)),
-            Action::Call(call) => {
+            Action::RegisterCall(call) => {
                 if self.calls.len() < MOST_CALLS {
                     self.calls.push_back(call);
-                    self.calls_ready.tell();
+                    self.calls_ready.notify();
                 }
             }
             Action::Close(node) => self.close_idle(&node),
-            Action::Unused(what) => debug!(what, "asked for by the core, and no deployment here allows it"),
+            Action::Unsupported(what) => {
+                debug!(what, "asked for by the core, and no deployment here allows it")
+            }
         }
     }
 
@@ -473,26 +476,26 @@
 
     fn sweep(&mut self) {
         let (now, waits) = (self.now, self.deployment.connections.clone());
-        let stuck = |stuck: &Stuck| stuck.longer_than(now, waits.half_pdu);
+        let stall = |stall: &StallDetector| stall.stalled_longer_than(now, waits.half_pdu);
         let fronts: Vec<u64> =
-            self.fronts.iter().filter(|(_, front)| stuck(&front.stuck)).map(|(at, _)| *at).collect();
+            self.fronts.iter().filter(|(_, front)| stall(&front.stall)).map(|(at, _)| *at).collect();
         for connection in fronts {
             warn!(connection, "closed: the client left a PDU unfinished or does not read");
             // What a client does not read would stay in the kernel for as long as it stays.
             let stream = self.fronts[&connection].stream.clone();
             let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(std::time::Duration::ZERO));
-            self.front_closed(connection);
+            self.client_closed(connection);
         }
         for connection in self.associations.lost(now) {
             info!(connection, "closed: nothing was heard of the client for its keep alive time-out");
-            self.front_closed(connection);
+            self.client_closed(connection);
         }
         self.keep_alive();
         let backs: Vec<u64> =
-            self.backs.iter().filter(|(_, back)| stuck(&back.stuck)).map(|(at, _)| *at).collect();
+            self.backs.iter().filter(|(_, back)| stall(&back.stall)).map(|(at, _)| *at).collect();
         for connection in backs {
             warn!(connection, "closed: the node left a PDU unfinished or does not read");
-            self.back_closed(connection);
+            self.node_closed(connection);
         }
         let idle = |back: &Back| {
             back.machine.live() == 0
@@ -517,22 +520,24 @@
             let node = self.backs.get(&connection).filter(|_| kept.contains(&connection));
             let node = node.map(|back| back.node.clone());
             // Closed by us for want of use: not a loss.
-            node.into_iter().for_each(|node| self.went(&node, Went::Idle));
-            self.back_closed(connection);
+            node.into_iter()
+                .for_each(|node| self.handle_association_event(&node, AssociationEvent::IdleClosed));
+            self.node_closed(connection);
         }
         let listed = self.nodes.iter().filter(|(_, node)| node.shut_since.is_none());
         let names: Vec<NodeId> = listed.map(|(name, _)| name.clone()).collect();
-        names.iter().for_each(|name| self.went(name, Went::Tick));
+        names.iter().for_each(|name| self.handle_association_event(name, AssociationEvent::Tick));
         // A node that is gone, with nothing at it, need not be remembered.
         self.nodes.retain(|_, node| {
-            let missed = matches!(node.path.state(), crate::path::State::Waiting { .. });
+            let missed =
+                matches!(node.node_association.state(), crate::node_association::State::BackingOff { .. });
             let idle = matches!(node.link, Link::Closed) && node.waiting.is_empty() && !missed;
             !(idle && node.shut_since.is_none_or(|since| now - since > 60.0))
         });
     }
 
     /// The counts, with what is open now.
-    pub fn counted(&mut self) -> Counts {
+    pub fn current_counts(&mut self) -> Counts {
         (self.counts.open, self.counts.connections) = (self.open.len(), self.fronts.len() + self.backs.len());
         (self.counts.volumes, self.counts.keys) = self.core.accounts();
         self.counts.superseded = self.keeper.superseded();
@@ -560,7 +565,7 @@
             if back.keeping.is_some() && since > wait / 2.0 {
                 warn!(node = %back.node.0, "closed: the node gave no sign of life for the keep alive time-out");
                 self.counts.keep_alive_lost += 1;
-                self.back_closed(admin);
+                self.node_closed(admin);
             } else if back.keeping.is_none() && since > wait / 3.0 {
                 if let Some((cid, bytes)) = back.machine.submit(plain(opcode::KEEP_ALIVE), Vec::new(), 0) {
                     (back.keeping, back.kept_at) = (Some(cid), now);
@@ -573,9 +578,9 @@
 
     // The register.
 
-    pub fn news(&mut self, news: &News) {
+    pub fn list_received(&mut self, news: &ListSnapshot) {
         let known = self.list.take(self.now, news);
-        self.keeper.keep(self.list.bytes());
+        self.keeper.set_content(self.list.bytes());
         debug!(revision = news.revision, entries = known.len(), "news of the register");
         self.events.push_back(Happened::List(ListKind::Complete, known));
     }
@@ -596,7 +601,7 @@
 
     /// From here on nothing new leaves for nodes that drain or are gone: what waits in our own queues is taken
     /// back at once, and what the kernel still holds when the grace ends is reset.
-    fn shut(&mut self, known: &[Known], scope: ListKind) {
+    fn shut(&mut self, known: &[ListedNode], scope: ListKind) {
         let mut shut: Vec<NodeId> = Vec::new();
         for (node, _, condition, started, _) in known {
             match condition {
@@ -604,9 +609,9 @@
                     let Some(of) = self.nodes.get_mut(node) else { continue };
                     of.shut_since = None;
                     let anew = of.started.replace(*started).is_some_and(|before| before != *started);
-                    self.went(node, Went::Ready);
+                    self.handle_association_event(node, AssociationEvent::NodeReady);
                     if anew {
-                        self.went(node, Went::Restarted);
+                        self.handle_association_event(node, AssociationEvent::NodeRestarted);
                     }
                 }
                 _ => shut.push(node.clone()),
@@ -623,14 +628,14 @@
                 continue;
             };
             node.shut_since = Some(now);
-            node.path.on(now, Went::Shut, 0.0);
+            node.node_association.handle(now, AssociationEvent::NodeUnavailable, 0.0);
             self.timers.set(now + grace, Timer::Grace(name.clone()));
             let waiting: Vec<(u64, u32)> = node.waiting.drain(..).collect();
             let queued = self.backs.values().filter(|back| back.node == name);
             let queued: Vec<_> =
                 queued.flat_map(|back| back.queue.iter().map(|one| (one.id, one.shot))).collect();
             for (id, shot) in waiting.into_iter().chain(queued) {
-                self.end_shot(id, shot, Ended::Lost, Told::default());
+                self.end_shot(id, shot, ShotEnd::ConnectionLost, Told::default());
             }
         }
     }
@@ -667,13 +672,13 @@
             let stream = self.backs[&connection].stream.clone();
             // Zero linger: what the kernel holds is discarded.
             let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(std::time::Duration::ZERO));
-            self.back_closed(connection);
+            self.node_closed(connection);
         }
     }
 
     // Clients.
 
-    pub fn front_opened(&mut self, stream: Rc<Async<TcpStream>>) -> Option<u64> {
+    pub fn client_connected(&mut self, stream: Rc<Async<TcpStream>>) -> Option<u64> {
         if self.fronts.len() >= self.deployment.listen.connections {
             return None;
         }
@@ -685,7 +690,7 @@
             sent: 0,
             open: HashMap::new(),
             asked: 0,
-            stuck: Stuck { unfinished: Some(self.now), unmoved: None },
+            stall: StallDetector { incomplete_since: Some(self.now), unread_since: None },
             blocked: false,
         };
         self.fronts.insert(connection, front);
@@ -693,7 +698,7 @@
     }
 
     /// Bytes of a client. False where the connection is of no more use.
-    pub fn front_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
+    pub fn client_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
         let Some(front) = self.fronts.get_mut(&connection) else { return false };
         let mut events = Vec::new();
         let before = front.machine.whole();
@@ -717,7 +722,7 @@
             }
         }
         if let Some(front) = self.fronts.get_mut(&connection) {
-            front.stuck.read(self.now, progress, front.machine.unfinished());
+            front.stall.record_read(self.now, progress, front.machine.unfinished());
         }
         if !good {
             // The term request still goes out.
@@ -782,7 +787,7 @@
             return self.respond(connection, sqe.cid, status::LBA_RANGE | status::DNR, 0, &[]);
         };
         // One transaction is one node's: a transfer over two extents is the host's to split.
-        if blocks > place.left || length > quaypath_nvme::MAX_DATA {
+        if blocks > place.remaining || length > quaypath_nvme::MAX_DATA {
             return self.respond(connection, sqe.cid, refuse, 0, &[]);
         }
         let (extent, block) = (place.extent, place.block);
@@ -834,8 +839,8 @@
     /// A command of a client's admin queue.
     fn admin(&mut self, connection: u64, sqe: &Sqe) {
         let deployment = self.deployment.clone();
-        let face = Face { deployment: &deployment };
-        match self.associations.command(self.now, connection, sqe, &face) {
+        let subsystem = GatewaySubsystem { deployment: &deployment };
+        match self.associations.command(self.now, connection, sqe, &subsystem) {
             Some(Do::Respond(cqe, data)) => self.respond_with(connection, cqe, &data),
             Some(Do::Disconnect(cqe)) => self.respond_with(connection, cqe, &[]),
             Some(Do::Hold) | None => {}
@@ -883,7 +888,7 @@
             front.open.remove(&cid);
             front.asked -= read;
         }
-        self.counts.lapsed += 1;
+        self.counts.cancelled += 1;
         self.events.push_back(Happened::Lapsed(id));
         if over {
             // The core still has to be told of it; it needs nothing of ours for that.
@@ -891,14 +896,14 @@
         }
     }
 
-    pub fn front_closed(&mut self, connection: u64) {
+    pub fn client_closed(&mut self, connection: u64) {
         let Some(front) = self.fronts.remove(&connection) else { return };
         let _ = front.stream.get_ref().shutdown(std::net::Shutdown::Both);
         let mut left: Vec<u64> = front.open.into_values().collect();
         left.sort_unstable();
         left.into_iter().for_each(|id| self.lapse(id));
         for other in self.associations.ended(connection) {
-            self.front_closed(other);
+            self.client_closed(other);
         }
     }
 
@@ -909,12 +914,12 @@
         let number = t.shots;
         t.shots += 1;
         let stop_at = if stop_at > 0.0 { stop_at.min(t.outer) } else { t.outer };
-        let (sent_at, progress) = (self.now, Progress::Opening);
+        let (sent_at, progress) = (self.now, Progress::Connecting);
         t.shot = Some(Shot { number, node: node.clone(), progress, at: None, sent_at });
         self.counts.shots += 1;
         self.counts.further += u64::from(number > 0);
         if t.client.is_none() || stop_at <= self.now {
-            return self.end_shot(id, number, Ended::TimeUp, Told::default());
+            return self.end_shot(id, number, ShotEnd::TimedOut, Told::default());
         }
         self.timers.set(stop_at, Timer::Stop(id, number));
         let known = self.nodes.entry(node.clone()).or_default();
@@ -927,19 +932,19 @@
             Link::Opening => known.waiting.push_back((id, number)),
             Link::Closed => {
                 known.waiting.push_back((id, number));
-                self.went(&node, Went::Wanted);
+                self.handle_association_event(&node, AssociationEvent::ShotRequested);
             }
         }
     }
 
     /// Something happened to the path to a node; what follows from it is done.
-    fn went(&mut self, name: &NodeId, event: Went) {
-        let chance = self.chance.generate::<f64>();
+    fn handle_association_event(&mut self, name: &NodeId, event: AssociationEvent) {
+        let jitter = self.chance.generate::<f64>();
         let Some(node) = self.nodes.get_mut(name) else { return };
-        match node.path.on(self.now, event, chance) {
-            Act::Nothing => {}
-            Act::Open => self.open_link(name.clone()),
-            Act::Retire => {
+        match node.node_association.handle(self.now, event, jitter) {
+            Effect::Nothing => {}
+            Effect::Open => self.open_association(name.clone()),
+            Effect::Retire => {
                 // Live commands finish there; the next shot makes a new association.
                 if let Link::Up(ios, admin) = std::mem::take(&mut node.link) {
                     for at in ios.iter().chain([&admin]) {
@@ -950,14 +955,14 @@
         }
     }
 
-    fn open_link(&mut self, name: NodeId) {
+    fn open_association(&mut self, name: NodeId) {
         let (Some(executor), Some(node)) = (self.executor.upgrade(), self.nodes.get_mut(&name)) else {
             return;
         };
         node.link = Link::Opening;
         self.counts.connects += 1;
         let peer = Peer::Node(name.0.clone());
-        spawn(&executor, TaskKind::NodeConnection, peer, net::open_link(self.me.clone(), name));
+        spawn(&executor, TaskKind::NodeConnection, peer, net::open_association(self.me.clone(), name));
     }
 
     /// The queue that a shot takes: of those with room, the one with the fewest commands. Which node it goes to and
@@ -981,7 +986,7 @@
         back.used_at = self.now;
         match back.machine.submit(sqe, t.data.clone(), t.read) {
             Some((cid, bytes)) => {
-                shot.progress.to(Progress::Queued);
+                shot.progress.advance_to(Progress::Queued);
                 shot.at = Some((connection, cid));
                 back.queue.push_back(Queued { id, shot: number, cid, bytes });
                 back.shots.insert(cid, (id, number));
@@ -991,14 +996,14 @@
                 let node = back.node.clone();
                 self.nodes.entry(node.clone()).or_default().waiting.push_back((id, number));
                 // As if another process were there: what is out finishes, what comes takes a fresh association.
-                self.went(&node, Went::Restarted);
-                self.went(&node, Went::Wanted);
+                self.handle_association_event(&node, AssociationEvent::NodeRestarted);
+                self.handle_association_event(&node, AssociationEvent::ShotRequested);
             }
         }
     }
 
     /// A shot has ended, by whatever: our side of it is cleared, and the core hears of it.
-    fn end_shot(&mut self, id: u64, number: u32, ended: Ended, told: Told) {
+    fn end_shot(&mut self, id: u64, number: u32, ended: ShotEnd, told: Told) {
         let Some(t) = self.open.get_mut(&id) else { return };
         let Some(shot) = t.shot.as_mut().filter(|shot| shot.number == number) else { return };
         match shot.at.take() {
@@ -1013,7 +1018,7 @@
                         back.queue.remove(at);
                         back.machine.withdraw(cid);
                         self.counts.withdrawn += 1;
-                    } else if !matches!(ended, Ended::Answered(_) | Ended::Lost) {
+                    } else if !matches!(ended, ShotEnd::Answered(_) | ShotEnd::ConnectionLost) {
                         back.machine.forget(cid);
                         let node = back.node.clone();
                         self.abort(&node, connection, cid);
@@ -1039,7 +1044,9 @@
     }
 
     /// An association is there: its admin queue first, then its I/O queues. Gives the connections' numbers.
-    pub fn link_opened(&mut self, name: &NodeId, queues: Vec<(Host, Rc<Async<TcpStream>>)>) -> Vec<u64> {
+    pub fn association_opened(
+        &mut self, name: &NodeId, queues: Vec<(Host, Rc<Async<TcpStream>>)>,
+    ) -> Vec<u64> {
         let mut ids = Vec::new();
         for (number, (machine, stream)) in (0..).zip(queues) {
             ids.push(self.next_connection);
@@ -1052,7 +1059,7 @@
                 sent: 0,
                 leaving: VecDeque::new(),
                 shots: HashMap::new(),
-                stuck: Stuck::default(),
+                stall: StallDetector::default(),
                 used_at: self.now,
                 blocked: false,
                 retired: false,
@@ -1063,7 +1070,7 @@
             self.backs.insert(self.next_connection, back);
             self.next_connection += 1;
         }
-        self.went(name, Went::Opened);
+        self.handle_association_event(name, AssociationEvent::Opened);
         let node = self.nodes.entry(name.clone()).or_default();
         node.link = Link::Up(ids[1..].to_vec(), ids[0]);
         let waiting: Vec<_> = node.waiting.drain(..).collect();
@@ -1074,25 +1081,25 @@
         ids
     }
 
-    pub fn link_failed(&mut self, name: &NodeId, why: &str) {
+    pub fn association_failed(&mut self, name: &NodeId, why: &str) {
         self.counts.connects_failed += 1;
         debug!(node = %name.0, why, "no connection");
         let Some(node) = self.nodes.get_mut(name) else { return };
         node.link = Link::Closed;
         let waiting: Vec<_> = node.waiting.drain(..).collect();
-        self.went(name, Went::Failed);
+        self.handle_association_event(name, AssociationEvent::OpenFailed);
         for (id, number) in waiting {
-            self.end_shot(id, number, Ended::Lost, Told::default());
+            self.end_shot(id, number, ShotEnd::ConnectionLost, Told::default());
         }
     }
 
     /// Bytes of a node. False where the connection is of no more use.
-    pub fn back_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
+    pub fn node_read(&mut self, connection: u64, bytes: &[u8]) -> bool {
         let Some(back) = self.backs.get_mut(&connection) else { return false };
         let mut events = Vec::new();
         let before = back.machine.whole();
         let fed = back.machine.feed(bytes, &mut events);
-        back.stuck.read(self.now, back.machine.whole() > before, back.machine.pending() > 0);
+        back.stall.record_read(self.now, back.machine.whole() > before, back.machine.pending() > 0);
         if !back.machine.out.is_empty() {
             self.dirty.push(connection);
         }
@@ -1103,7 +1110,7 @@
         }
         for event in events {
             match event {
-                host::Event::Done { cid, cqe, data } => self.back_done(connection, cid, cqe, data),
+                host::Event::Done { cid, cqe, data } => self.node_completed(connection, cid, cqe, data),
                 host::Event::Late { .. } => self.counts.late_answers += 1,
                 host::Event::Terminated { status, info } => {
                     warn!(node = %node.0, status, info, "the node ended the connection");
@@ -1115,7 +1122,7 @@
         good
     }
 
-    fn back_done(&mut self, connection: u64, cid: u16, cqe: Cqe, data: Vec<u8>) {
+    fn node_completed(&mut self, connection: u64, cid: u16, cqe: Cqe, data: Vec<u8>) {
         let Some(back) = self.backs.get_mut(&connection) else { return };
         if back.keeping == Some(cid) {
             back.keeping = None;
@@ -1124,7 +1131,7 @@
         // Answers to our Aborts, on the admin queue, decide nothing.
         let Some((id, number)) = back.shots.remove(&cid) else { return };
         let told = Told::of(&cqe);
-        if outcome(Ended::Answered(cqe.status), Progress::Out) == Outcome::Settled {
+        if outcome(ShotEnd::Answered(cqe.status), Progress::Sent) == Outcome::Settled {
             // The client's answer; the core is told in the same turn that the transaction is over.
             let owed = self.open.get(&id).is_some_and(|t| t.client.is_some());
             if owed {
@@ -1135,10 +1142,10 @@
         if let Some(shot) = self.open.get_mut(&id).and_then(|t| t.shot.as_mut()) {
             shot.at = None;
         }
-        self.end_shot(id, number, Ended::Answered(cqe.status), told);
+        self.end_shot(id, number, ShotEnd::Answered(cqe.status), told);
     }
 
-    pub fn back_closed(&mut self, connection: u64) {
+    pub fn node_closed(&mut self, connection: u64) {
         let Some(back) = self.backs.remove(&connection) else { return };
         let _ = back.stream.get_ref().shutdown(std::net::Shutdown::Both);
         let mut lost: Vec<(u64, u32)> = back.shots.into_values().collect();
@@ -1153,16 +1160,16 @@
             _ => None,
         });
         if peers.is_some() {
-            self.went(&back.node, Went::Broke);
+            self.handle_association_event(&back.node, AssociationEvent::ConnectionLost);
         }
         for (id, number) in lost {
             if let Some(shot) = self.open.get_mut(&id).and_then(|t| t.shot.as_mut()) {
                 shot.at = None;
             }
-            self.end_shot(id, number, Ended::Lost, Told::default());
+            self.end_shot(id, number, ShotEnd::ConnectionLost, Told::default());
         }
         // The queues of an association live and die together.
-        peers.into_iter().flatten().for_each(|peer| self.back_closed(peer));
+        peers.into_iter().flatten().for_each(|peer| self.node_closed(peer));
     }
 
     fn close_idle(&mut self, node: &NodeId) {
@@ -1172,8 +1179,8 @@
         };
         if ios.iter().all(idle) {
             let admin = *admin;
-            self.went(node, Went::Idle);
-            self.back_closed(admin);
+            self.handle_association_event(node, AssociationEvent::IdleClosed);
+            self.node_closed(admin);
         }
     }
 
@@ -1184,15 +1191,15 @@
         if let Some(front) = self.fronts.get_mut(&connection) {
             let before = front.sent;
             let (out, writes) = (&mut front.machine.out, &mut self.counts.writes);
-            match write_out(front.stream.get_ref(), out, &mut front.sent, writes) {
-                Ok(true) => front.stuck.written(self.now, true, false),
+            match write_output(front.stream.get_ref(), out, &mut front.sent, writes) {
+                Ok(true) => front.stall.record_write(self.now, true, false),
                 Ok(false) => {
-                    front.stuck.written(self.now, front.sent > before, true);
+                    front.stall.record_write(self.now, front.sent > before, true);
                     if !std::mem::replace(&mut front.blocked, true) {
                         self.drain_later(connection);
                     }
                 }
-                Err(_) => self.front_closed(connection),
+                Err(_) => self.client_closed(connection),
             }
         } else if self.backs.contains_key(&connection) {
             let (before, now) = (self.backs[&connection].sent, self.now);
@@ -1201,16 +1208,16 @@
                     self.backs
                         .get_mut(&connection)
                         .into_iter()
-                        .for_each(|back| back.stuck.written(now, true, false));
+                        .for_each(|back| back.stall.record_write(now, true, false));
                 }
                 Ok(false) => {
                     let back = self.backs.get_mut(&connection).unwrap();
-                    back.stuck.written(now, back.sent != before, true);
+                    back.stall.record_write(now, back.sent != before, true);
                     if !std::mem::replace(&mut back.blocked, true) {
                         self.drain_later(connection);
                     }
                 }
-                Err(_) => self.back_closed(connection),
+                Err(_) => self.node_closed(connection),
             }
         }
     }
@@ -1218,7 +1225,7 @@
     fn drain_later(&mut self, connection: u64) {
         let stream = self.stream(connection);
         if let (Some(executor), Some(stream)) = (self.executor.upgrade(), stream) {
-            let draining = net::drain(self.me.clone(), connection, stream);
+            let draining = net::resume_when_writable(self.me.clone(), connection, stream);
             spawn(&executor, TaskKind::Drain, Peer::None, draining);
         }
     }
@@ -1229,7 +1236,7 @@
     }
 
     /// The kernel takes bytes again.
-    pub fn unblocked(&mut self, connection: u64) {
+    pub fn writable(&mut self, connection: u64) {
         if let Some(front) = self.fronts.get_mut(&connection) {
             front.blocked = false;
         } else if let Some(back) = self.backs.get_mut(&connection) {
@@ -1290,9 +1297,9 @@
             for ((id, number), whole) in begun {
                 let shot = self.open.get_mut(&id).and_then(|t| t.shot.as_mut());
                 let Some(shot) = shot.filter(|shot| shot.number == number) else { continue };
-                let next = if whole { Progress::Out } else { Progress::Leaving };
+                let next = if whole { Progress::Sent } else { Progress::PartlySent };
                 if shot.progress < next {
-                    shot.progress.to(next);
+                    shot.progress.advance_to(next);
                 }
             }
         }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -9,9 +9,9 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
-use quaypath_http::{error, response, Request, RequestDecoder, MOST_HEAD};
+use quaypath_http::{encode_error_response, encode_response, Request, RequestDecoder, MAX_HEAD_BYTES};
+use quaypath_initiator::event_loop::{read_some, run_turn, try_read, with_timeout, Driver, Notify, Received};
 use quaypath_initiator::polls::yield_if_spent;
-use quaypath_initiator::turns::{read_now, read_some, turn, within, Came, Notify, Turns};
 
 use crate::instance::{Permit, Shared, ShutdownStage, Weakly};
 use crate::READ;
@@ -62,10 +62,10 @@
     pub fn to(&mut self, next: ConnectionState, now: f64) {
         (self.state, self.since) = (next, now);
         if matches!(next, ConnectionState::Closing | ConnectionState::Evicted) {
-            self.close_request.tell();
+            self.close_request.notify();
         } else {
             // What a request has come before is not to be closed at the next wait.
-            self.close_request.forget();
+            self.close_request.clear();
         }
     }
 }
@@ -85,14 +85,14 @@
         match self {
             Answer::Settled(kind, body, _) => {
                 let kind = kind.as_deref().map(|kind| ("Content-Type", kind));
-                response(200, kind.as_slice(), body, close)
+                encode_response(200, kind.as_slice(), body, close)
             }
             Answer::Declined(come_back) if *come_back > 0.0 => {
                 let wait = format!("{:.3}", (come_back * 1e3).ceil() / 1e3);
-                response(503, &[("Retry-After", &wait)], b"declined\n", close)
+                encode_response(503, &[("Retry-After", &wait)], b"declined\n", close)
             }
-            Answer::Declined(_) => response(503, &[], b"declined\n", close),
-            Answer::Scrapped => response(500, &[], b"scrapped\n", close),
+            Answer::Declined(_) => encode_response(503, &[], b"declined\n", close),
+            Answer::Scrapped => encode_response(500, &[], b"scrapped\n", close),
         }
     }
 }
@@ -107,7 +107,7 @@
 impl Reply {
     pub fn give(&self, answer: Answer) {
         *self.answer.borrow_mut() = Some(answer);
-        self.told.tell();
+        self.told.notify();
     }
 
     async fn wait(&self) -> Answer {
@@ -177,7 +177,7 @@
                 while !self.instance()?.borrow().ready() {
                     Timer::after(ASKED_AGAIN).await;
                 }
-                self.write(&response(200, &[], b"up\n", close)).await?;
+                self.write(&encode_response(200, &[], b"up\n", close)).await?;
             } else if !self.transaction(request, held).await? {
                 return Ok(());
             }
@@ -207,11 +207,11 @@
                 }
                 Ok(None) => {}
                 Err(refused) => {
-                    self.refuse(refused.status, refused.why).await?;
+                    self.refuse(refused.status, refused.reason).await?;
                     return Ok(None);
                 }
             }
-            let announced = self.decoder.announced();
+            let announced = self.decoder.announced_body();
             if announced > 0 && held.is_none() {
                 held = self.hold(announced);
                 if held.is_none() {
@@ -219,11 +219,11 @@
                     return Ok(None);
                 }
             }
-            if self.decoder.expects() && !told {
+            if self.decoder.expects_continue() && !told {
                 told = true;
                 self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
             }
-            if self.decoder.unfinished() {
+            if self.decoder.has_partial_request() {
                 if self.instance()?.borrow().stop == ShutdownStage::Terminating {
                     self.refuse(503, "the process ends").await?;
                     return Ok(None);
@@ -234,13 +234,13 @@
             match self.more(until).await? {
                 Went::More => {}
                 Went::End => return Ok(None),
-                Went::Late if self.decoder.unfinished() => {
+                Went::Late if self.decoder.has_partial_request() => {
                     self.refuse(408, "no whole request in time").await?;
                     return Ok(None);
                 }
                 // Asked to make room, at a stop, or idle for too long: unless something has just come.
                 Went::Late | Went::CloseRequested => {
-                    if !self.decoder.unfinished() {
+                    if !self.decoder.has_partial_request() {
                         if self.nothing_came()? {
                             self.end().await?;
                             return Ok(None);
@@ -255,8 +255,8 @@
     /// A last look before a close between two requests: false where bytes have come since the last one.
     fn nothing_came(&mut self) -> io::Result<bool> {
         let decoder = &mut self.decoder;
-        let came = read_now(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes))?;
-        if matches!(came, Some(Came::Bytes(()))) {
+        let came = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes))?;
+        if matches!(came, Some(Received::Bytes(()))) {
             self.arrived = self.instance()?.borrow().clock_now();
             return Ok(false);
         }
@@ -275,8 +275,8 @@
         let decoder = &mut self.decoder;
         let read = async {
             match read_some(&self.stream, READ, |bytes| decoder.feed(bytes)).await? {
-                Came::Bytes(()) => Ok(Went::More),
-                Came::End => Ok(Went::End),
+                Received::Bytes(()) => Ok(Went::More),
+                Received::End => Ok(Went::End),
             }
         };
         let asked = async {
@@ -302,7 +302,7 @@
         let this = self.instance()?;
         self.enter(ConnectionState::Busy)?;
         let wants_close = request.close;
-        let taken = turn(&this, |this| this.take(request, held, self.arrived));
+        let taken = run_turn(&this, |this| this.take(request, held, self.arrived));
         let (id, reply) = match taken {
             Ok(taken) => taken,
             Err((status, why)) => {
@@ -317,21 +317,21 @@
             // What comes meanwhile is the next request. Past a head's length it is thrown away, and the connection
             // ends behind this answer: left in the kernel, it would hide that its client has gone.
             loop {
-                let room = MOST_HEAD.saturating_sub(decoder.held());
+                let room = MAX_HEAD_BYTES.saturating_sub(decoder.buffered());
                 let keep = |bytes: &[u8]| {
                     decoder.feed(&bytes[..bytes.len().min(room)]);
                     bytes.len() > room
                 };
                 match read_some(&stream, READ, keep).await {
-                    Ok(Came::Bytes(over)) => overrun |= over,
-                    Ok(Came::End) | Err(_) => return None,
+                    Ok(Received::Bytes(over)) => overrun |= over,
+                    Ok(Received::End) | Err(_) => return None,
                 }
             }
         };
         let answer = async { Some(reply.wait().await) }.or(gone).await;
         let this = self.instance()?;
         let Some(answer) = answer else {
-            turn(&this, |this| this.lapsed(id));
+            run_turn(&this, |this| this.lapsed(id));
             return Ok(false);
         };
         let stopping = this.borrow().stop > ShutdownStage::No;
@@ -340,8 +340,8 @@
         let ends = overrun
             || stopping && {
                 let decoder = &mut self.decoder;
-                let _ = read_now(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes));
-                !decoder.unfinished()
+                let _ = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes));
+                !decoder.has_partial_request()
             };
         self.write(&answer.encode(wants_close || ends)).await?;
         if ends {
@@ -352,7 +352,7 @@
 
     async fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = &*self.stream;
-        within(WRITE, async { stream.write_all(bytes).await }).await
+        with_timeout(WRITE, async { stream.write_all(bytes).await }).await
     }
 
     /// An error for what cannot be read or is not fit, and the end of the connection.
@@ -362,7 +362,7 @@
         if let Some(this) = self.instance.upgrade() {
             this.borrow_mut().counts.unfit += 1;
         }
-        self.write(&error(status, why)).await?;
+        self.write(&encode_error_response(status, why)).await?;
         self.end().await
     }
 
@@ -390,22 +390,22 @@
     let rest = async {
         while left > 0 {
             match read_some(stream, READ, <[u8]>::len).await? {
-                Came::Bytes(count) => left = left.saturating_sub(count),
-                Came::End => break,
+                Received::Bytes(count) => left = left.saturating_sub(count),
+                Received::End => break,
             }
         }
         Ok(())
     };
-    within(LINGER, rest).await
+    with_timeout(LINGER, rest).await
 }
 
 /// Tells a client for whom there is no room that it may come again, in place of a close without a word.
 pub async fn turn_away(stream: Rc<Async<TcpStream>>, _refusal: Rc<()>) {
-    let text = error(503, "no room for a connection");
+    let text = encode_error_response(503, "no room for a connection");
     let mut writer = &*stream;
     let told = async {
         writer.write_all(&text).await?;
         linger(&stream).await
     };
-    let _ = within(TURNED_AWAY, told).await;
+    let _ = with_timeout(TURNED_AWAY, told).await;
 }
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -10,14 +10,14 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use quaypath_initiator::face::SUBSYSTEM;
-use quaypath_initiator::queue::{open_admin, open_queue};
-use quaypath_initiator::turns::{within, Notify};
-use quaypath_initiator::wheel::Wheel;
+use quaypath_initiator::event_loop::{with_timeout, Notify};
+use quaypath_initiator::queue::{open_admin_queue, open_io_queue};
+use quaypath_initiator::subsystem::SUBSYSTEM_NQN;
+use quaypath_initiator::timer_wheel::TimerWheel;
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::status;
-use quaypath_record::{End, Event as Line, Writer};
+use quaypath_record::{Event as Line, TransactionEnd, Writer};
 use quaypath_rules::Repeat;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -89,7 +89,7 @@
         let running = Running::start("clients", move |executor| {
             let state = State {
                 chance: SmallRng::seed_from_u64(options.seed),
-                timers: Wheel::new(record.clock.now()),
+                timers: TimerWheel::new(record.clock.now()),
                 record,
                 tally: shared,
                 queues: HashMap::new(),
@@ -136,7 +136,7 @@
     options: Options,
     record: Writer,
     chance: SmallRng,
-    timers: Wheel<Due>,
+    timers: TimerWheel<Due>,
     tally: Arc<Mutex<Tally>>,
     /// By gateway and queue (0: admin).
     queues: HashMap<(u32, u16), Queue>,
@@ -161,11 +161,11 @@
     let host = format!("nqn.2026-12.example.quaypath:client:{gateway}");
     let offer = Offer::default();
     let opening = async {
-        let (admin, enable) = open_admin(address, SUBSYSTEM, &host, offer, 1, false).await?;
-        let io = open_queue(address, 1, enable.controller, SUBSYSTEM, &host, offer).await?;
+        let (admin, enable) = open_admin_queue(address, SUBSYSTEM_NQN, &host, offer, 1, false).await?;
+        let io = open_io_queue(address, 1, enable.controller, SUBSYSTEM_NQN, &host, offer).await?;
         Ok([admin, io])
     };
-    let opened: io::Result<_> = within(2.0, opening).await;
+    let opened: io::Result<_> = with_timeout(2.0, opening).await;
     let mut streams = Vec::new();
     for (number, (machine, stream)) in (0..).zip(opened?) {
         streams.push(stream.clone());
@@ -198,7 +198,7 @@
     fn run(&mut self) -> f64 {
         let now = self.record.clock.now();
         let mut due = Vec::new();
-        self.timers.ring(now, &mut due);
+        self.timers.advance(now, &mut due);
         for what in due {
             match what {
                 Due::Again(operation, ask, tries) => self.ask(operation, ask, tries),
@@ -215,7 +215,7 @@
         let mut tally = self.tally.lock().unwrap();
         tally.open = self.open.len() as u64;
         tally.done = next.is_none() && self.open.is_empty() && self.timers.is_empty();
-        next.unwrap_or(f64::INFINITY).min(self.timers.next_at().unwrap_or(f64::INFINITY))
+        next.unwrap_or(f64::INFINITY).min(self.timers.next_expiry().unwrap_or(f64::INFINITY))
     }
 
     fn ask(&mut self, operation: u64, at: usize, tries: u32) {
@@ -250,7 +250,7 @@
         let key = u64::from(ask.volume) << 32 | u64::from(ask.key);
         let (gateway, volume, band, units) = (ask.gateway, ask.volume, ask.band, ask.units);
         let budget = ask.budget;
-        self.record.put(Line::Ask { t, gateway, mark, volume, band, units, key, budget });
+        self.record.put(Line::CommandSent { t, gateway, mark, volume, band, units, key, budget });
         self.tally.lock().unwrap().asked += 1;
         self.open.insert(mark, Waiting { ask: at, gateway, cid, tries, left: false });
         if let Some(leaves) = ask.leaves {
@@ -265,7 +265,7 @@
         if tries < own.map_or(self.options.retries, |(retries, _)| retries).min(255) {
             let wait = wait * self.chance.random_range(0.8..1.2);
             self.timers.set(self.record.clock.now() + wait, Due::Again(operation, at, tries + 1));
-            self.wake.tell();
+            self.wake.notify();
         }
     }
 
@@ -273,7 +273,7 @@
         let Some(waiting) = self.open.get_mut(&mark).filter(|waiting| !waiting.left) else { return };
         waiting.left = true;
         let (gateway, cid) = (waiting.gateway, waiting.cid);
-        self.record.put(Line::Left { t: self.record.clock.now(), mark });
+        self.record.put(Line::ClientCancelled { t: self.record.clock.now(), mark });
         if let Some(admin) = self.queues.get_mut(&(gateway, 0)) {
             if let Some((_, mut bytes)) = admin.machine.submit(Sqe::abort(1, cid), Vec::new(), 0) {
                 admin.output.add(&mut bytes);
@@ -308,17 +308,17 @@
             return;
         }
         let end = match code {
-            status::SUCCESS => End::Settled,
-            status::INTERRUPTED => End::Declined,
-            _ => End::Scrapped,
+            status::SUCCESS => TransactionEnd::Settled,
+            status::INTERRUPTED => TransactionEnd::Declined,
+            _ => TransactionEnd::Scrapped,
         };
-        self.record.put(Line::Final { t, gateway, mark, end });
+        self.record.put(Line::FinalAnswer { t, gateway, mark, end });
         self.tally.lock().unwrap().answered += 1;
         let band = self.options.plan[waiting.ask].band;
         let again = match end {
-            End::Settled => false,
-            End::Declined => true,
-            End::Scrapped => self.options.bands[band].repeat == Repeat::Repeatable,
+            TransactionEnd::Settled => false,
+            TransactionEnd::Declined => true,
+            TransactionEnd::Scrapped => self.options.bands[band].repeat == Repeat::Repeatable,
         };
         if again && !waiting.left {
             let wait = if cqe.dw0 > 0 { f64::from(cqe.dw0) / 1e3 } else { self.options.backoff };
@@ -336,7 +336,7 @@
             marks.sort_unstable();
             for mark in marks {
                 let Some(waiting) = self.open.remove(&mark) else { continue };
-                self.record.put(Line::Cut { t, gateway, mark });
+                self.record.put(Line::ClientConnectionLost { t, gateway, mark });
                 let band = self.options.plan[waiting.ask].band;
                 if self.options.bands[band].repeat == Repeat::Repeatable && !waiting.left {
                     self.try_again(mark >> 8, waiting.ask, waiting.tries, self.options.backoff);
