--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -200,11 +200,14 @@
 
 /// Sends the instance's signals as they come up.
 async fn speak(fleet: Weak<RefCell<Fleet>>, instance: Home) {
-    let Some(ready) = instance.upgrade().and_then(|instance| instance.borrow().tells_ready()) else { return };
+    let Some(ready) = instance.upgrade().and_then(|instance| instance.borrow().outgoing_signals_ready())
+    else {
+        return;
+    };
     loop {
         ready.wait().await;
         let (Some(fleet), Some(instance)) = (fleet.upgrade(), instance.upgrade()) else { return };
-        let tells = instance.borrow_mut().tells();
+        let tells = instance.borrow_mut().take_outgoing_signals();
         for (to, bytes) in tells {
             fleet.borrow_mut().turn(|core, now, out| core.send_signal(now, to, &bytes, out));
         }
@@ -252,8 +255,8 @@
         }
         self.looked_at = now;
         let Some(instance) = self.instance.upgrade() else { return false };
-        instance.borrow_mut().behave(self.options.manner.get());
-        let holders = instance.borrow().holders();
+        instance.borrow_mut().set_signal_behavior(self.options.manner.get());
+        let holders = instance.borrow().ready_nodes();
         let probed: BTreeMap<DutyId, (BlockId, NodeId)> =
             holders.into_iter().map(|(block, node)| (probe_of(block), (block, node))).collect();
         if !probed.keys().eq(self.probed.keys()) {
@@ -294,11 +297,15 @@
                     info!(member = member.0, ?status, "fleet");
                     let instance = self.instance.upgrade();
                     let dead = matches!(status, Status::Dead | Status::Left);
-                    instance.iter().for_each(|instance| instance.borrow_mut().holds(member, dead));
+                    instance
+                        .iter()
+                        .for_each(|instance| instance.borrow_mut().member_status_changed(member, dead));
                 }
                 Action::SignalReceived(from, bytes) => {
                     let instance = self.instance.upgrade();
-                    instance.iter().for_each(|one| run_turn(one, |this| this.signalled(from, bytes.clone())));
+                    instance
+                        .iter()
+                        .for_each(|one| run_turn(one, |this| this.signal_received(from, bytes.clone())));
                 }
             }
         }
--- a/crates/initiator/src/net.rs
+++ b/crates/initiator/src/net.rs
@@ -72,12 +72,12 @@
 
 async fn read_client(instance: Weak<RefCell<Instance>>, connection: u64, stream: Rc<Async<TcpStream>>) {
     let take = |this: &mut Instance, bytes: &[u8]| this.client_read(connection, bytes);
-    read_until_closed(instance, stream, take, |this| this.client_closed(connection)).await;
+    read_until_closed(instance, stream, take, |this| this.close_client(connection)).await;
 }
 
 async fn read_node(instance: Weak<RefCell<Instance>>, connection: u64, stream: Rc<Async<TcpStream>>) {
     let take = |this: &mut Instance, bytes: &[u8]| this.node_read(connection, bytes);
-    read_until_closed(instance, stream, take, |this| this.node_closed(connection)).await;
+    read_until_closed(instance, stream, take, |this| this.close_node_connection(connection)).await;
 }
 
 /// Waits until a connection is writable, and then resumes its output.
--- a/crates/initiator/src/node_list.rs
+++ b/crates/initiator/src/node_list.rs
@@ -1,4 +1,4 @@
-//! The node list as news of the register, and the last one kept on disk.
+//! The node list: snapshots from the register, and the last one, which is stored on disk.
 
 use std::io;
 use std::path::Path;
@@ -6,60 +6,65 @@
 use quaypath::types::{BlockId, Condition, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// Most nodes of one list.
+/// Limit of the nodes in one list.
 pub const MAX_NODES: usize = 65536;
 
-/// What the core asks of the register.
+/// Call of the core to the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterCall {
-    /// Changes from now on, or no more.
+    /// Starts or stops watching for changes.
     Watch { on: bool },
-    /// The whole list once.
+    /// Fetches the complete list once.
     Fetch,
 }
 
+/// One node in a snapshot of the register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeEntry {
-    /// Address and port.
+    /// Address and port of the node.
     pub node: String,
     pub zone: String,
-    /// Part of the data that it holds.
+    /// Number of the block (the part of the data) that the node holds.
     pub block: i64,
     pub condition: Condition,
-    /// Seconds since it last started; absent where it started long ago. An age, as clocks of two machines differ.
+    /// Time since the node last started, seconds; none when it started long ago. It is an age, because the clocks of two
+    /// machines differ.
     pub age: Option<f64>,
-    /// Changes with every start.
+    /// Identifies the start of the node: it changes with every start.
     pub start: u64,
 }
 
-/// The whole list, as of one generation of the register's log.
+/// The complete node list, as of one generation of the register's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSnapshot {
+    /// Generation of the register's log.
     pub revision: u64,
     pub entries: Vec<NodeEntry>,
 }
 
-/// An entry as the core takes it. The register tells no sizes.
+/// An entry in the form of the core. The register does not report node sizes, so the size is 0.
 pub type ListedNode = quaypath::types::Listed;
 
+/// A node as it is stored on disk, in JSON.
 #[derive(Debug, Serialize, Deserialize)]
 struct Row {
     node: String,
     block: i64,
     ready: bool,
-    /// On this machine's clock, seconds; 0: long ago.
+    /// Start of the node on this machine's clock, seconds; 0 when it started long ago.
     started: f64,
     start: u64,
 }
 
-/// The list as this initiator holds it, starts turned into times of its own clock.
+/// The node list of this initiator. Starts of nodes are stored as times of its own clock.
 #[derive(Debug, Default)]
 pub struct NodeList {
     rows: Vec<Row>,
 }
 
 impl NodeList {
-    /// The last list on disk; empty where there is none. A file that cannot be read is as none, and told.
+    /// Loads the last list from disk; it is empty if there is no file. If the file cannot be read, the list is empty and an
+    /// error is returned beside it.
     pub fn load(path: &Path) -> (Self, Option<String>) {
         match std::fs::read(path) {
             Ok(bytes) => match serde_json::from_slice(&bytes) {
@@ -71,25 +76,28 @@
         }
     }
 
-    /// The list as it is kept on disk.
+    /// Encodes the list in the form that is stored on disk.
     pub fn bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(&self.rows).expect("numbers and strings have a form in JSON")
+        serde_json::to_vec(&self.rows).expect("numbers and strings can be encoded in JSON")
     }
 
-    pub fn known(&self) -> Vec<ListedNode> {
-        self.rows.iter().map(Row::known).collect()
+    /// All nodes of the list in the form of the core.
+    pub fn listed(&self) -> Vec<ListedNode> {
+        self.rows.iter().map(Row::listed).collect()
     }
 
-    /// Takes a new list and gives it in the core's terms, in order.
-    pub fn take(&mut self, now: f64, news: &ListSnapshot) -> Vec<ListedNode> {
-        self.rows.retain(|row| news.entries.iter().any(|entry| entry.node == row.node));
-        let mut told = Vec::new();
-        for entry in news.entries.iter().take(MAX_NODES) {
+    /// Replaces the list by a snapshot that was received at the clock time `now`, seconds. Returns the entries of the
+    /// snapshot in the form of the core, in the same order.
+    pub fn update(&mut self, now: f64, snapshot: &ListSnapshot) -> Vec<ListedNode> {
+        self.rows.retain(|row| snapshot.entries.iter().any(|entry| entry.node == row.node));
+        let mut listed = Vec::new();
+        for entry in snapshot.entries.iter().take(MAX_NODES) {
             let started = entry.age.map_or(0.0, |age| now - age.clamp(0.0, now));
-            let at = self.rows.iter().position(|row| row.node == entry.node);
-            // The same start keeps the time that it was first given: the age comes with a delay that varies.
-            let kept = at.map(|at| &self.rows[at]).filter(|row| row.start == entry.start);
-            let started = kept.map_or(started, |row| row.started);
+            let position = self.rows.iter().position(|row| row.node == entry.node);
+            // The same start keeps its first recorded time, because ages arrive with a varying delay.
+            let recorded =
+                position.map(|position| &self.rows[position]).filter(|row| row.start == entry.start);
+            let started = recorded.map_or(started, |row| row.started);
             let condition = entry.condition;
             let row = Row {
                 node: entry.node.clone(),
@@ -98,20 +106,20 @@
                 started,
                 start: entry.start,
             };
-            told.push((NodeId(row.node.as_str().into()), BlockId(row.block), condition, started, 0.0));
-            match (at, condition) {
-                (Some(at), Condition::Gone) => drop(self.rows.remove(at)),
-                (Some(at), _) => self.rows[at] = row,
+            listed.push((NodeId(row.node.as_str().into()), BlockId(row.block), condition, started, 0.0));
+            match (position, condition) {
+                (Some(position), Condition::Gone) => drop(self.rows.remove(position)),
+                (Some(position), _) => self.rows[position] = row,
                 (None, Condition::Gone) => {}
                 (None, _) => self.rows.push(row),
             }
         }
-        told
+        listed
     }
 }
 
 impl Row {
-    fn known(&self) -> ListedNode {
+    fn listed(&self) -> ListedNode {
         let condition = if self.ready { Condition::Ready } else { Condition::Draining };
         (NodeId(self.node.as_str().into()), BlockId(self.block), condition, self.started, 0.0)
     }
@@ -126,33 +134,36 @@
         NodeEntry { node, zone, block: 1, condition, age: Some(age), start }
     }
 
-    fn news(entries: Vec<NodeEntry>) -> ListSnapshot {
+    fn snapshot(entries: Vec<NodeEntry>) -> ListSnapshot {
         ListSnapshot { revision: 1, entries }
     }
 
-    /// A start told twice with different delays must not look like a second start: the core would forget its node.
+    /// Guards against a start that looks like a second one because it was reported twice with different delays: the core
+    /// would discard its state of the node.
     #[test]
-    fn a_start_keeps_its_time_and_a_new_start_has_a_new_one() {
+    fn the_same_start_keeps_its_time_and_a_new_start_gets_a_new_time() {
         let mut list = NodeList::default();
-        let first = list.take(100.0, &news(vec![entry("n", Condition::Ready, 5.0, 1)]));
-        let again = list.take(110.0, &news(vec![entry("n", Condition::Ready, 15.3, 1)]));
-        let new = list.take(120.0, &news(vec![entry("n", Condition::Ready, 0.5, 2)]));
-        assert_eq!((first[0].3, again[0].3, new[0].3), (95.0, 95.0, 119.5));
+        let first = list.update(100.0, &snapshot(vec![entry("n", Condition::Ready, 5.0, 1)]));
+        let repeated = list.update(110.0, &snapshot(vec![entry("n", Condition::Ready, 15.3, 1)]));
+        let new = list.update(120.0, &snapshot(vec![entry("n", Condition::Ready, 0.5, 2)]));
+        assert_eq!((first[0].3, repeated[0].3, new[0].3), (95.0, 95.0, 119.5));
     }
 
+    /// Guards against a stored list that differs from the one in memory, and against a start that fails because of a
+    /// truncated file.
     #[test]
-    fn what_is_kept_on_disk_is_what_was_known_and_a_torn_file_is_none() {
+    fn the_stored_list_equals_the_list_in_memory_and_a_truncated_file_is_empty() {
         let path = std::env::temp_dir().join(format!("quaypath-list-{}", std::process::id()));
         let mut list = NodeList::default();
-        let listed = vec![entry("n", Condition::Ready, 5.0, 1), entry("m", Condition::Draining, 1.0, 1)];
-        list.take(50.0, &news(listed.clone()));
-        list.take(51.0, &news([listed, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
-        assert_eq!(list.known().len(), 2);
+        let entries = vec![entry("n", Condition::Ready, 5.0, 1), entry("m", Condition::Draining, 1.0, 1)];
+        list.update(50.0, &snapshot(entries.clone()));
+        list.update(51.0, &snapshot([entries, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
+        assert_eq!(list.listed().len(), 2);
         quaypath_record::background::replace(&path, &list.bytes()).unwrap();
-        assert_eq!(NodeList::load(&path).0.known(), list.known());
+        assert_eq!(NodeList::load(&path).0.listed(), list.listed());
         std::fs::write(&path, b"[{\"node\":").unwrap();
-        let (torn, told) = NodeList::load(&path);
-        assert!(torn.known().is_empty() && told.is_some());
+        let (truncated, load_error) = NodeList::load(&path);
+        assert!(truncated.listed().is_empty() && load_error.is_some());
         std::fs::remove_file(&path).unwrap();
     }
 }
--- a/crates/initiator/src/peer_signals.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -1,5 +1,5 @@
-//! An initiator's signals on its own loop: the decision core's accounts and news handed to them, their messages kept
-//! for the fleet's driver. What is said, lent and asked for is decided in `quaypath_fleet`.
+//! The signals of an initiator to other initiators: passes the decision core's balances and observations to them, and
+//! queues their messages for the fleet driver. `quaypath_fleet` decides what is reported, lent and requested.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,54 +12,60 @@
 use crate::core::{Actions, Core};
 use crate::event_loop::Notify;
 
-/// Messages that wait for the fleet's driver, at most; the rest is lost, as datagrams are.
-const MOST_WAITING: usize = 256;
+/// Limit of the messages that wait for the fleet driver. Further messages are dropped, as datagrams may be.
+const MAX_OUTGOING: usize = 256;
 
-pub struct Shares {
+/// The signals of one initiator, and their messages that wait to be sent.
+pub struct PeerSignals {
     pub signals: Signals,
-    pub tells: VecDeque<(MemberId, Vec<u8>)>,
-    pub tells_ready: Rc<Notify>,
+    /// Messages that wait for the fleet driver, each with its receiver.
+    pub outgoing: VecDeque<(MemberId, Vec<u8>)>,
+    /// Notified when `outgoing` has new messages.
+    pub outgoing_ready: Rc<Notify>,
 }
 
-impl Shares {
-    pub fn new(signals: Signals) -> Shares {
-        let (tells, tells_ready) = (VecDeque::new(), Rc::default());
-        Shares { signals, tells, tells_ready }
+impl PeerSignals {
+    pub fn new(signals: Signals) -> PeerSignals {
+        let (outgoing, outgoing_ready) = (VecDeque::new(), Rc::default());
+        PeerSignals { signals, outgoing, outgoing_ready }
     }
 
-    /// Gives the signals what the core saw, and a turn if one is due; when the timer is to be set for, if anew.
-    pub fn settle(&mut self, now: f64, core: &mut dyn Core, actions: &mut Actions) -> Option<f64> {
-        let seen = actions.1.as_mut().map(std::mem::take).unwrap_or_default();
-        self.turn(core, actions, |signals, books| signals.run_due(now, seen, books))
+    /// Passes the core's observations to the signals and runs what is due. Returns the clock time, seconds, for which the
+    /// timer has to be set, if it changed.
+    pub fn run_due(&mut self, now: f64, core: &mut dyn Core, actions: &mut Actions) -> Option<f64> {
+        let observed = actions.1.as_mut().map(std::mem::take).unwrap_or_default();
+        self.with_ledger(core, actions, |signals, ledger| signals.run_due(now, observed, ledger))
     }
 
-    /// A member's message.
-    pub fn heard(
+    /// Handles a signal of another member.
+    pub fn signal_received(
         &mut self, now: f64, from: MemberId, bytes: &[u8], core: &mut dyn Core, actions: &mut Actions,
     ) {
-        self.turn(core, actions, |signals, books| signals.signal_received(now, from, bytes, books));
+        self.with_ledger(core, actions, |signals, ledger| signals.signal_received(now, from, bytes, ledger));
     }
 
-    fn turn<R>(
+    fn with_ledger<R>(
         &mut self, core: &mut dyn Core, actions: &mut Actions,
-        act: impl FnOnce(&mut Signals, &mut Books) -> R,
+        action: impl FnOnce(&mut Signals, &mut CoreLedger) -> R,
     ) -> R {
-        let waiting = self.tells.len();
-        let done = act(&mut self.signals, &mut Books { core, actions, tells: &mut self.tells });
-        if self.tells.len() > waiting {
-            self.tells_ready.notify();
+        let waiting = self.outgoing.len();
+        let result =
+            action(&mut self.signals, &mut CoreLedger { core, actions, outgoing: &mut self.outgoing });
+        if self.outgoing.len() > waiting {
+            self.outgoing_ready.notify();
         }
-        done
+        result
     }
 }
 
-struct Books<'a> {
+/// Gives the signals access to the core's limits and to the queue of outgoing messages.
+struct CoreLedger<'a> {
     core: &'a mut dyn Core,
     actions: &'a mut Actions,
-    tells: &'a mut VecDeque<(MemberId, Vec<u8>)>,
+    outgoing: &'a mut VecDeque<(MemberId, Vec<u8>)>,
 }
 
-impl Ledger for Books<'_> {
+impl Ledger for CoreLedger<'_> {
     fn limit_balances(&mut self, now: f64) -> Vec<Need> {
         self.core.needs(now)
     }
@@ -68,10 +74,10 @@
     }
 }
 
-impl SignalHost for Books<'_> {
+impl SignalHost for CoreLedger<'_> {
     fn send_signal(&mut self, to: MemberId, bytes: &[u8]) {
-        if self.tells.len() < MOST_WAITING {
-            self.tells.push_back((to, bytes.to_vec()));
+        if self.outgoing.len() < MAX_OUTGOING {
+            self.outgoing.push_back((to, bytes.to_vec()));
         }
     }
     fn node_report_received(&mut self, now: f64, report: &NodeReport) {
--- a/crates/initiator/src/register.rs
+++ b/crates/initiator/src/register.rs
@@ -42,21 +42,26 @@
     let mut delay = BASE_RECONNECT_DELAY;
     loop {
         let Some(this) = instance.upgrade() else { return };
-        let (register, keep_alive, host, calls_ready) = {
+        let (register, keep_alive, host, register_calls_ready) = {
             let this = this.borrow();
             let keep_alive = this.deployment.connections.keep_alive;
-            (this.deployment.register.clone(), keep_alive, this.name.clone(), this.calls_ready.clone())
+            (
+                this.deployment.register.clone(),
+                keep_alive,
+                this.name.clone(),
+                this.register_calls_ready.clone(),
+            )
         };
         drop(this);
         // In mode `asked`, the connection is only opened when there is a call to make.
         if register.mode == Mode::Asked {
             loop {
                 let Some(this) = instance.upgrade() else { return };
-                if !this.borrow().calls.is_empty() {
+                if !this.borrow().register_calls.is_empty() {
                     break;
                 }
                 drop(this);
-                calls_ready.wait().await;
+                register_calls_ready.wait().await;
             }
         }
         let opening = async {
@@ -78,8 +83,8 @@
         let Some(this) = instance.upgrade() else { return };
         run_turn(&this, |this| {
             // Pending calls and the watch are lost together with the connection.
-            this.calls.clear();
-            this.call_failed();
+            this.register_calls.clear();
+            this.register_call_failed();
         });
         drop(this);
         if register.mode == Mode::Pushed {
@@ -109,9 +114,9 @@
     let mut events = Vec::new();
     loop {
         let Some(this) = instance.upgrade() else { return Ok(()) };
-        let (call, calls_ready) = {
+        let (call, register_calls_ready) = {
             let mut this = this.borrow_mut();
-            (this.calls.pop_front(), this.calls_ready.clone())
+            (this.register_calls.pop_front(), this.register_calls_ready.clone())
         };
         drop(this);
         match call {
@@ -137,7 +142,7 @@
                 Err(status) => {
                     debug!(status, "the register answered a call with an error status");
                     is_watching = mode == Mode::Pushed;
-                    run_turn(&this, Instance::call_failed);
+                    run_turn(&this, Instance::register_call_failed);
                 }
             }
             continue;
@@ -145,7 +150,7 @@
         let keep_alive_interval = if keep_alive > 0.0 { keep_alive / 3.0 } else { 3600.0 };
         let next_event = async { wait_for_event(&mut queue).await.map(Wakeup::Event) };
         let next_call = async {
-            calls_ready.wait().await;
+            register_calls_ready.wait().await;
             Ok(Wakeup::Call)
         };
         let keep_alive_due = async {
