--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -1,4 +1,4 @@
-//! `quaypath-load`: loads gateways or targets, keeps what it measured, reports and compares it.
+//! `quaypath-load`: loads gateways or nodes, stores the measurements, and reports and compares them.
 
 use std::io::{BufRead, BufReader, IsTerminal, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -24,8 +24,8 @@
 use quaypath_record::{Clock, Writer};
 use quaypath_settings::Loaded;
 
-/// An open-loop load over NVMe/TCP: arrivals keep coming when the other end slows, latency counts from when each was
-/// meant.
+/// An open-loop load over NVMe/TCP: arrivals continue when the other end slows down, and latency counts from the time at
+/// which each operation was meant to be sent.
 #[derive(Parser)]
 #[command(
     version,
@@ -33,37 +33,39 @@
 )]
 struct Arguments {
     #[command(subcommand)]
-    act: Act,
+    action: Action,
     #[command(flatten)]
     logs: Logs,
 }
 
 #[derive(Subcommand)]
-enum Act {
-    /// Loads a fleet; Ctrl-C ends it and keeps what was measured
+enum Action {
+    /// Loads a fleet; Ctrl-C ends the load and keeps the measurements so far
     Run(RunArguments),
-    /// Joins a load that another generator gathers, as one part of it
+    /// Joins a load that another generator coordinates, as one part of it
     Join {
-        /// The load, XML by quaypath.xsd; the same file as the others'
+        /// The load, XML by quaypath.xsd; the same file as that of the other generators
         load: PathBuf,
-        /// Where the load is gathered
+        /// Address of the coordinating generator
         address: SocketAddr,
     },
-    /// Tables and charts of a result
+    /// Prints the tables of a result, and draws its charts
     Report {
+        /// The result, a Parquet file
         result: PathBuf,
         /// Folder for the charts, SVG
         #[arg(long)]
         charts: Option<PathBuf>,
     },
-    /// Differences of two results, with 95% confidence intervals
+    /// Prints the differences of two results, with 95% confidence intervals
     Compare { first: PathBuf, second: PathBuf },
-    /// Finds the highest rate at which a part of a band's operations is settled in time
+    /// Finds the highest rate at which a given part of a band's operations is settled in time
     Knee(KneeArguments),
-    /// Prints what the load will ask, without asking it
+    /// Prints the operations of the load without sending them
     Show {
+        /// The load, XML by quaypath.xsd
         load: PathBuf,
-        /// Arrivals to print one by one
+        /// Number of arrivals to print one by one
         #[arg(long, default_value_t = 10)]
         first: u64,
     },
@@ -72,11 +74,11 @@
 /// What is loaded.
 #[derive(Args, Clone)]
 #[group(required = true, multiple = false)]
-struct At {
-    /// Brings up this day's fleet and plays its troubles, XML by quaypath.xsd
+struct FleetSource {
+    /// Day whose fleet is started and whose faults are run, XML by quaypath.xsd
     #[arg(long)]
     day: Option<PathBuf>,
-    /// A file of lines `gateway NUMBER ADDRESS` or `target BLOCK ADDRESS`, as quaypath-day fleet prints them
+    /// File of lines `gateway NUMBER ADDRESS` or `target BLOCK ADDRESS`, as quaypath-day fleet prints them
     #[arg(long)]
     fleet: Option<PathBuf>,
 }
@@ -86,69 +88,75 @@
     /// The load, XML by quaypath.xsd
     load: PathBuf,
     #[command(flatten)]
-    at: At,
+    fleet_source: FleetSource,
     /// Folder for result.parquet and the charts
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Record of what crossed the sockets, for quaypath-check
+    /// File for the record of what crossed the sockets, for quaypath-check
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Generators that share the load, each a process of its own
+    /// Number of generators that share the load, each a separate process
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=64))]
     parts: u32,
-    /// Wait for the other parts here instead of starting them
+    /// Address on which to wait for the other generators, in place of starting them
     #[arg(long)]
     gather: Option<SocketAddr>,
-    /// Folder of the fleet's own record and logs, with --day
+    /// Folder for the fleet's own record and logs, with --day
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct KneeArguments {
-    /// The load, XML by quaypath.xsd; its rate is the first one tried
+    /// The load, XML by quaypath.xsd; its rate is the first that is tried
     load: PathBuf,
     #[command(flatten)]
-    at: At,
-    /// Band that the bar is for
+    fleet_source: FleetSource,
+    /// Band whose operations are judged
     #[arg(long)]
     band: String,
-    /// Part that must be settled in time
+    /// Part of the operations that must be settled in time
     #[arg(long, default_value_t = 0.99)]
     part: f64,
-    /// Highest rate tried
+    /// Highest rate to try, operations per second
     #[arg(long, default_value_t = 20_000.0)]
     most: f64,
-    /// Seconds of one trial
+    /// Duration of a trial, seconds
     #[arg(long, default_value_t = 10.0)]
     lasts: f64,
-    /// Seconds between trials
+    /// Time between trials, seconds
     #[arg(long, default_value_t = 2.0)]
     rest: f64,
-    /// Trials at one rate, at most
+    /// Maximum number of trials at one rate
     #[arg(long, default_value_t = 3)]
     repeats: u32,
-    /// The knee is told to this part of itself
+    /// Precision of the result, as a part of the rate
     #[arg(long, default_value_t = 0.05)]
     precision: f64,
 }
 
-/// A fleet, and the process that keeps it up if it is ours.
-struct Up {
+/// A fleet, and the quaypath-day process that runs it if this program started one.
+struct RunningFleet {
     fleet: Fleet,
     process: Option<(Child, ChildStdin, BufReader<std::process::ChildStdout>)>,
 }
 
-impl Up {
-    fn start(at: &At, folder: Option<&Path>, judge: Option<&Path>) -> Result<Up, String> {
-        if let Some(path) = &at.fleet {
-            let place = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-            let text = std::fs::read_to_string(path).map_err(|error| place(&error))?;
-            return Ok(Up { fleet: Fleet::parse(&text).map_err(|error| place(&error))?, process: None });
+impl RunningFleet {
+    /// Uses the fleet of a file, or starts that of a day; `judge` is a record that the day judges together with its own.
+    fn start(
+        fleet_source: &FleetSource, folder: Option<&Path>, judge: Option<&Path>,
+    ) -> Result<RunningFleet, String> {
+        if let Some(path) = &fleet_source.fleet {
+            let in_file = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+            let text = std::fs::read_to_string(path).map_err(|error| in_file(&error))?;
+            return Ok(RunningFleet {
+                fleet: Fleet::parse(&text).map_err(|error| in_file(&error))?,
+                process: None,
+            });
         }
-        let day = at.day.as_ref().ok_or("neither a day nor a fleet")?;
-        let beside = std::env::current_exe().map_err(|error| error.to_string())?;
-        let program = beside.with_file_name("quaypath-day");
+        let day = fleet_source.day.as_ref().ok_or("neither --day nor --fleet is given")?;
+        let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
+        let program = own_path.with_file_name("quaypath-day");
         let mut command = Command::new(&program);
         command.arg("fleet").arg(day);
         if let Some(folder) = folder {
@@ -165,22 +173,22 @@
         while !text.ends_with("ready\n") {
             if lines.read_line(&mut text).map_err(|error| error.to_string())? == 0 {
                 let _ = child.wait();
-                return Err(format!("the fleet of {} did not come up", day.display()));
+                return Err(format!("the fleet of {} did not start", day.display()));
             }
         }
         let fleet = Fleet::parse(&text)?;
-        Ok(Up { fleet, process: Some((child, stdin, lines)) })
+        Ok(RunningFleet { fleet, process: Some((child, stdin, lines)) })
     }
 
-    /// Troubles begin with the load.
-    fn begin(&mut self, at: f64) {
+    /// Starts the faults of the day at `t`, in seconds since the epoch.
+    fn begin(&mut self, t: f64) {
         if let Some((_, stdin, _)) = &mut self.process {
-            let _ = writeln!(stdin, "begin {at}");
+            let _ = writeln!(stdin, "begin {t}");
             let _ = stdin.flush();
         }
     }
 
-    /// Ends the fleet; false where it was judged and broke a rule.
+    /// Stops the fleet; returns false if it was judged and broke a rule.
     fn end(&mut self) -> Result<bool, String> {
         let Some((mut child, stdin, mut lines)) = self.process.take() else { return Ok(true) };
         drop(stdin);
@@ -193,35 +201,37 @@
         match status.code() {
             Some(0) => Ok(true),
             Some(1) => Ok(false),
-            _ => Err(format!("the fleet ended with {status}")),
+            _ => Err(format!("quaypath-day ended with {status}")),
         }
     }
 }
 
-impl Drop for Up {
+impl Drop for RunningFleet {
     fn drop(&mut self) {
         let _ = self.end();
     }
 }
 
-/// Waits for Ctrl-C or a request to end.
-async fn stopped() {
+/// Waits for Ctrl-C or SIGTERM.
+async fn stop_requested() {
     use async_signal::{Signal, Signals};
     match Signals::new([Signal::Int, Signal::Term]) {
         Ok(mut signals) => {
             let _ = signals.next().await;
         }
-        // Without a handler the signal ends the process as it always does.
+        // Without a handler the signal ends the process.
         Err(_) => std::future::pending().await,
     }
 }
 
-fn load(path: &Path) -> Result<Loaded, String> {
+/// Reads and checks a load.
+fn read_load(path: &Path) -> Result<Loaded, String> {
     let loaded = quaypath_settings::load_of(path).map_err(|error| error.to_string())?;
-    check(&loaded.load, &loaded.deployment).map_err(|why| format!("{}: {why}", path.display()))?;
+    check(&loaded.load, &loaded.deployment).map_err(|reason| format!("{}: {reason}", path.display()))?;
     Ok(loaded)
 }
 
+/// Progress of the generator in the last interval.
 fn beat(glimpse: &Glimpse) -> Beat {
     let Cell { counts, meant, lag, .. } = &glimpse.recent;
     let ms = |histogram: &Latencies, q: f64| histogram.value_at_quantile(q) as f64 / 1e3;
@@ -239,26 +249,26 @@
     }
 }
 
-/// Seconds between two lines of how it goes.
-const EVERY: f64 = 0.5;
+/// Time between two progress reports, seconds.
+const REPORT_INTERVAL: f64 = 0.5;
 
-/// One line that is written over itself, on a terminal only.
+/// A line that shows the progress and replaces itself, on a terminal only.
 #[derive(Clone)]
-struct Live(ProgressBar);
+struct ProgressLine(ProgressBar);
 
-impl Live {
-    fn new(lasts: f64) -> Live {
+impl ProgressLine {
+    fn new(duration: f64) -> ProgressLine {
         if !std::io::stderr().is_terminal() {
-            return Live(ProgressBar::hidden());
+            return ProgressLine(ProgressBar::hidden());
         }
-        let bar = ProgressBar::new(lasts.ceil() as u64);
+        let bar = ProgressBar::new(duration.ceil() as u64);
         let style = ProgressStyle::with_template("{pos:>4}/{len} s {bar:16} {msg}");
-        Live(bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar())))
+        ProgressLine(bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar())))
     }
 
-    fn tell(&self, beat: &Beat) {
+    fn update(&self, beat: &Beat) {
         self.0.set_position(beat.at.max(0.0) as u64);
-        let rate = |count: u64| count as f64 / EVERY;
+        let rate = |count: u64| count as f64 / REPORT_INTERVAL;
         self.0.set_message(format!(
             "offered {:.0}/s, settled {:.0}/s, other ends {:.0}/s, open {}, p50 {:.1} ms, p99 {:.1} ms, lag {:.2} ms",
             rate(beat.offered),
@@ -272,29 +282,32 @@
     }
 }
 
-fn writer(path: &Option<PathBuf>, clock: Clock) -> Result<Option<Writer>, String> {
+/// Opens the record, if one is wanted.
+fn open_record(path: &Option<PathBuf>, clock: Clock) -> Result<Option<Writer>, String> {
     path.as_ref().map(|path| Writer::file(path, clock).map_err(|error| error.to_string())).transpose()
 }
 
-/// One generator in this process.
-fn alone(
+/// Runs the load with one generator, in this process.
+fn run_alone(
     path: &Path, loaded: &Loaded, fleet: &Fleet, record: Option<Writer>, begin: impl FnOnce(f64),
 ) -> Result<Outcome, String> {
     let clock = record.as_ref().map_or_else(Clock::default, |record| record.clock);
     let start = clock.now() + LEAD.min(0.5);
     begin(start);
-    let live = Live::new(loaded.load.lasts);
-    let given = Run { path, loaded, fleet, clock, record: record.clone(), every: EVERY };
+    let progress = ProgressLine::new(loaded.load.lasts);
+    let options = Run { path, loaded, fleet, clock, record: record.clone(), every: REPORT_INTERVAL };
     let place = Place { part: 0, of: 1, start };
-    let (outcome, rows) = run(given, place, stopped(), move |glimpse| live.tell(&beat(&glimpse)))?;
+    let (outcome, rows) =
+        run(options, place, stop_requested(), move |glimpse| progress.update(&beat(&glimpse)))?;
     if let Some(record) = record {
         record.flush().map_err(|error| error.to_string())?;
     }
-    rows.iter().for_each(told);
+    rows.iter().for_each(print_row_counts);
     Ok(outcome)
 }
 
-fn told(rows: &Rows) {
+/// Prints how many rows of a recorded load were used and why others were not.
+fn print_row_counts(rows: &Rows) {
     print_line!(
         "rows of the record: {} taken, {} outside the window, {} put in order, {} too late for it, {} unknown, {} \
          remapped",
@@ -302,47 +315,51 @@
     );
 }
 
-/// Several generators, started here or elsewhere.
-fn together(arguments: &RunArguments, loaded: &Loaded, up: &mut Up) -> Result<Outcome, String> {
-    let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let listener = TcpListener::bind(arguments.gather.unwrap_or(any)).map_err(|error| error.to_string())?;
+/// Coordinates several generators, started by this program or elsewhere.
+fn run_in_parts(
+    arguments: &RunArguments, loaded: &Loaded, running: &mut RunningFleet,
+) -> Result<Outcome, String> {
+    let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let listener =
+        TcpListener::bind(arguments.gather.unwrap_or(any_port)).map_err(|error| error.to_string())?;
     let address = listener.local_addr().map_err(|error| error.to_string())?;
-    let own = std::env::current_exe().map_err(|error| error.to_string())?;
+    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
     let mut children = Vec::new();
     if arguments.gather.is_none() {
         for _ in 0..arguments.parts {
-            let mut command = Command::new(&own);
+            let mut command = Command::new(&own_path);
             command.arg("join").arg(&arguments.load).arg(address.to_string()).stdin(Stdio::null());
             children.push(command.spawn().map_err(|error| error.to_string())?);
         }
     } else {
-        eprintln!("gathering {} generators at {address}", arguments.parts);
+        eprintln!("waiting for {} generators at {address}", arguments.parts);
     }
     let clock = Clock::default();
-    let of = arguments.parts;
-    let live = Live::new(loaded.load.lasts);
-    let newest: Arc<Mutex<Vec<Beat>>> = Arc::new(Mutex::new(vec![Beat::default(); of as usize]));
-    let mut begun = false;
-    let gathered = gather(listener, hello(loaded), of, &up.fleet.clone(), clock, |part, beat| {
-        if !begun {
-            begun = true;
-            up.begin(clock.now() - beat.at);
-        }
-        let mut newest = newest.lock().unwrap();
-        newest[part] = beat.clone();
-        let mut sum = Beat { at: beat.at, ..Beat::default() };
-        for one in newest.iter() {
-            sum.offered += one.offered;
-            sum.settled += one.settled;
-            sum.others += one.others;
-            sum.open += one.open;
-            sum.p50 = sum.p50.max(one.p50);
-            sum.p99 = sum.p99.max(one.p99);
-            sum.lag = sum.lag.max(one.lag);
-        }
-        live.tell(&sum);
-    });
-    // One that was not taken ends by itself; one that hangs is ours to end.
+    let part_count = arguments.parts;
+    let progress = ProgressLine::new(loaded.load.lasts);
+    let newest: Arc<Mutex<Vec<Beat>>> = Arc::new(Mutex::new(vec![Beat::default(); part_count as usize]));
+    let mut started = false;
+    let gathered =
+        gather(listener, hello(loaded), part_count, &running.fleet.clone(), clock, |part, beat| {
+            if !started {
+                started = true;
+                running.begin(clock.now() - beat.at);
+            }
+            let mut newest = newest.lock().unwrap();
+            newest[part] = beat.clone();
+            let mut sum = Beat { at: beat.at, ..Beat::default() };
+            for latest in newest.iter() {
+                sum.offered += latest.offered;
+                sum.settled += latest.settled;
+                sum.others += latest.others;
+                sum.open += latest.open;
+                sum.p50 = sum.p50.max(latest.p50);
+                sum.p99 = sum.p99.max(latest.p99);
+                sum.lag = sum.lag.max(latest.lag);
+            }
+            progress.update(&sum);
+        });
+    // A generator that was not accepted ends by itself; after a failure those that may hang are killed.
     for child in &mut children {
         if gathered.is_err() {
             let _ = child.kill();
@@ -353,39 +370,39 @@
     let mut missing = Vec::new();
     for (part, state) in states.iter().enumerate() {
         if let parts::State::Missing { why, at } = state {
-            let source = stream(&arguments.load, &loaded.load, &loaded.deployment, up.fleet.peers())?;
-            let offered = share(source, part as u32, of, 0.0, f64::INFINITY)?;
+            let source = stream(&arguments.load, &loaded.load, &loaded.deployment, running.fleet.peers())?;
+            let offered = share(source, part as u32, part_count, 0.0, f64::INFINITY)?;
             let why = format!("{why}, {at:.1} s into the load");
             eprintln!(
-                "quaypath-load: generator {part} of {of} is missing: {why}; its share: {offered} arrivals"
+                "quaypath-load: generator {part} of {part_count} is missing: {why}; its share is {offered} arrivals"
             );
             missing.push(Missing { part: part as u32, offered, why });
         }
     }
     let mut outcome = match results.is_empty() {
         false => Outcome::merge(results)?,
-        true => Outcome::of(meta(loaded, &up.fleet, of, start), &Default::default()),
+        true => Outcome::of(meta(loaded, &running.fleet, part_count, start), &Default::default()),
     };
-    outcome.meta.parts = of;
+    outcome.meta.parts = part_count;
     outcome.meta.missing = missing;
     Ok(outcome)
 }
 
 fn run_load(arguments: &RunArguments) -> Result<bool, String> {
-    let loaded = load(&arguments.load)?;
+    let loaded = read_load(&arguments.load)?;
     if arguments.parts > 1 && arguments.record.is_some() {
-        return Err("--record goes with one generator only".into());
+        return Err("--record can be used with one generator only".into());
     }
-    let judge = arguments.record.as_deref().filter(|_| arguments.at.day.is_some());
-    let mut up = Up::start(&arguments.at, arguments.folder.as_deref(), judge)?;
+    let judge = arguments.record.as_deref().filter(|_| arguments.fleet_source.day.is_some());
+    let mut running = RunningFleet::start(&arguments.fleet_source, arguments.folder.as_deref(), judge)?;
     let outcome = if arguments.parts > 1 || arguments.gather.is_some() {
-        together(arguments, &loaded, &mut up)?
+        run_in_parts(arguments, &loaded, &mut running)?
     } else {
-        let record = writer(&arguments.record, Clock::default())?;
-        let fleet = up.fleet.clone();
-        alone(&arguments.load, &loaded, &fleet, record, |start| up.begin(start))?
+        let record = open_record(&arguments.record, Clock::default())?;
+        let fleet = running.fleet.clone();
+        run_alone(&arguments.load, &loaded, &fleet, record, |start| running.begin(start))?
     };
-    let kept = up.end()?;
+    let rules_kept = running.end()?;
     if let Some(folder) = &arguments.report {
         std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
         outcome.write(&folder.join("result.parquet"))?;
@@ -393,24 +410,24 @@
         print_line!("result and charts: {}", folder.display());
     }
     print_line!("{}", report::tables(&outcome)?);
-    Ok(kept && outcome.meta.missing.is_empty())
+    Ok(rules_kept && outcome.meta.missing.is_empty())
 }
 
 fn join(path: &Path, address: SocketAddr) -> Result<bool, String> {
-    let loaded = load(path)?;
+    let loaded = read_load(path)?;
     let joined = Joined::join(address, hello(&loaded))?;
-    let teller = std::cell::RefCell::new(joined.teller()?);
-    let given = Run {
+    let reporter = std::cell::RefCell::new(joined.teller()?);
+    let options = Run {
         path,
         loaded: &loaded,
         fleet: &joined.given.fleet.clone(),
         clock: Clock::default(),
         record: None,
-        every: EVERY,
+        every: REPORT_INTERVAL,
     };
     let place = Place { part: joined.given.part, of: joined.given.of, start: joined.start };
     let (outcome, _) =
-        run(given, place, stopped(), move |glimpse| teller.borrow_mut().beat(&beat(&glimpse)))?;
+        run(options, place, stop_requested(), move |glimpse| reporter.borrow_mut().beat(&beat(&glimpse)))?;
     joined.report(&outcome)?;
     Ok(true)
 }
@@ -426,36 +443,37 @@
     Ok(true)
 }
 
-/// One trial of a search: the load at this rate.
+/// Runs one trial of a search: the load at this rate. `index` counts the trials from 1.
 fn trial(
-    arguments: &KneeArguments, loaded: &mut Loaded, band: usize, fleet: &Fleet, rate: f64, nth: u64,
+    arguments: &KneeArguments, loaded: &mut Loaded, band: usize, fleet: &Fleet, rate: f64, index: u64,
 ) -> Result<(Trial, Outcome), String> {
     let load = &mut loaded.load;
-    load.open.as_mut().ok_or("a search wants a load with <open>")?.rate = rate;
+    load.open.as_mut().ok_or("a search needs a load with <open>")?.rate = rate;
     load.lasts = arguments.lasts;
     load.warm_up = load.warm_up.min(arguments.lasts / 4.0);
-    // Another draw for each, or repeats would tell less than they seem to.
-    load.seed = load.seed.wrapping_add(nth);
-    let outcome = alone(&arguments.load, loaded, fleet, None, |_| {})?;
-    if let Some(why) = &outcome.meta.ended_early {
-        return Err(why.clone());
+    // Each trial has its own seed: repeats with equal draws would add less information than they seem to.
+    load.seed = load.seed.wrapping_add(index);
+    let outcome = run_alone(&arguments.load, loaded, fleet, None, |_| {})?;
+    if let Some(reason) = &outcome.meta.ended_early {
+        return Err(reason.clone());
     }
     let counts = outcome.cell(Key::new(Kind::Band, band))?.counts;
-    let found = match outcome.verdict()? {
-        Verdict::Limited(why) => Trial::Generator(why),
+    let measured = match outcome.verdict()? {
+        Verdict::Limited(reason) => Trial::Generator(reason),
         Verdict::Brought if counts.offered == 0 => Trial::Nothing,
         Verdict::Brought => Trial::Part(counts.goodput()),
     };
-    Ok((found, outcome))
+    Ok((measured, outcome))
 }
 
+/// Searches for the knee: raises and lowers the rate until the search has found it or has to give up.
 fn knee(arguments: &KneeArguments) -> Result<bool, String> {
-    let mut loaded = load(&arguments.load)?;
-    let from = loaded.load.open.as_ref().ok_or("a search wants a load with <open>")?.rate;
+    let mut loaded = read_load(&arguments.load)?;
+    let from = loaded.load.open.as_ref().ok_or("a search needs a load with <open>")?.rate;
     let band = loaded.deployment.band_names.iter().position(|name| *name == arguments.band);
-    let band = band.ok_or(format!("band '{}' is not the deployment's", arguments.band))?;
-    let mut up = Up::start(&arguments.at, None, None)?;
-    let fleet = up.fleet.clone();
+    let band = band.ok_or(format!("band '{}' is not in the deployment", arguments.band))?;
+    let mut running = RunningFleet::start(&arguments.fleet_source, None, None)?;
+    let fleet = running.fleet.clone();
     let mut search = Knee::new(Bar {
         part: arguments.part,
         from,
@@ -463,43 +481,43 @@
         precision: arguments.precision.clamp(0.001, 0.5),
         repeats: arguments.repeats.max(1),
     });
-    let mut nth = 0;
+    let mut index = 0;
     while let Some(rate) = search.next() {
-        nth += 1;
-        let (found, outcome) = trial(arguments, &mut loaded, band, &fleet, rate, nth)?;
+        index += 1;
+        let (measured, outcome) = trial(arguments, &mut loaded, band, &fleet, rate, index)?;
         let all = outcome.cell(Key::new(Kind::All, 0))?;
         print_line!(
-            "{rate:.0} a second: {found:?} of {} in time; all bands {:.4}, p99 of all {} ms",
+            "{rate:.0} a second: {measured:?} of {} in time; all bands {:.4}, p99 of all {} ms",
             arguments.band,
             all.counts.goodput(),
             report::milliseconds(all.meant.value_at_quantile(0.99) as f64 / 1e6)
         );
-        search.took(found);
+        search.took(measured);
         std::thread::sleep(std::time::Duration::from_secs_f64(arguments.rest.clamp(0.0, 600.0)));
     }
-    up.end()?;
-    let bar = format!("{} of {} in time", arguments.part, arguments.band);
+    running.end()?;
+    let criterion = format!("{} of {} in time", arguments.part, arguments.band);
     let noisy = search.steps.iter().filter(|step| step.noisy).count();
     if noisy > 0 {
         print_line!("at {noisy} rates the repeats' intervals hold the bar: told by their means");
     }
     let found = match search.state() {
         State::Ended(End::Between(low, high)) => {
-            print_line!("knee: {bar} holds at {low:.0} a second and not at {high:.0}");
+            print_line!("knee: {criterion} holds at {low:.0} a second and not at {high:.0}");
             true
         }
         State::Ended(End::Above(rate)) => {
-            print_line!("no knee: {bar} still holds at {rate:.0} a second, the highest tried");
+            print_line!("no knee: {criterion} still holds at {rate:.0} a second, the highest tried");
             true
         }
         State::Ended(End::Below(rate)) => {
-            print_line!("no knee: {bar} does not hold even at {rate:.1} a second");
+            print_line!("no knee: {criterion} does not hold even at {rate:.1} a second");
             false
         }
         State::Ended(End::Generator { at, held, why }) => {
             let held = held.map_or("at no rate before".into(), |held| format!("at {held:.0}"));
             print_line!(
-                "no knee: the generator was the limit at {at:.0} a second ({why}); {bar} held {held}"
+                "no knee: the generator was the limit at {at:.0} a second ({why}); {criterion} held {held}"
             );
             false
         }
@@ -513,7 +531,7 @@
 }
 
 fn show(path: &Path, first: u64) -> Result<bool, String> {
-    let loaded = load(path)?;
+    let loaded = read_load(path)?;
     let peers = Peers::Gateways(loaded.deployment.core.initiators as u32);
     let mut source = stream(path, &loaded.load, &loaded.deployment, peers)?;
     let mut count = 0u64;
@@ -547,17 +565,17 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     arguments.logs.start();
-    let done = match &arguments.act {
-        Act::Run(run) => run_load(run),
-        Act::Join { load, address } => join(load, *address),
-        Act::Report { result, charts } => report_on(result, charts.as_deref()),
-        Act::Compare { first, second } => Outcome::read(first).and_then(|first| {
+    let finished = match &arguments.action {
+        Action::Run(run) => run_load(run),
+        Action::Join { load, address } => join(load, *address),
+        Action::Report { result, charts } => report_on(result, charts.as_deref()),
+        Action::Compare { first, second } => Outcome::read(first).and_then(|first| {
             let text = report::compared(&first, &Outcome::read(second)?)?;
             print_line!("{text}");
             Ok(true)
         }),
-        Act::Knee(knee_of) => knee(knee_of),
-        Act::Show { load, first } => show(load, *first),
+        Action::Knee(knee_arguments) => knee(knee_arguments),
+        Action::Show { load, first } => show(load, *first),
     };
-    exit_code("quaypath-load", done)
+    exit_code("quaypath-load", finished)
 }
