--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -499,7 +499,7 @@
     let criterion = format!("{} of {} in time", arguments.part, arguments.band);
     let noisy = search.steps.iter().filter(|step| step.noisy).count();
     if noisy > 0 {
-        print_line!("at {noisy} rates the repeats' intervals hold the bar: told by their means");
+        print_line!("at {noisy} rates the interval of the repeats includes the part to reach; these were judged by their means");
     }
     let found = match search.state() {
         State::Ended(End::Between(low, high)) => {
