--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,9 +1,11 @@
-//! Shared periodic duties: each is done by one member, taken over when that one dies, given back when it returns.
+//! Shared periodic duties. Each duty is run by one member; another member takes it over when that one dies, and gives it
+//! back when that one returns.
 //!
-//! Whose a duty is follows from the live members alone, by weighted rendezvous hashing: a member that comes or goes
-//! moves its own share only. What was done is told to all as findings. A finding of a member with the better claim
-//! holds a lesser one off, also where the lists of the two differ: claims that are acted upon decide, not lists. Where
-//! the one with the best claim does nothing, for want of a list of nodes it may be, the next one does after a while.
+//! The owner of a duty follows from the live members alone, by weighted rendezvous hashing, so a member that joins or
+//! leaves moves only its own share. The result of each run is sent to all members. While a member with a better claim
+//! runs a duty, members with lesser claims do not, even if their lists of live members differ: claims of members that run
+//! the duty decide, not lists. If the member with the best claim does not run the duty, for example because it has no list
+//! of nodes, the next one takes over after some periods.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,222 +14,237 @@
 use crate::message::{DutyResult, MAX_AGE, MAX_DUTY_RESULTS};
 use crate::{DutyId, MemberId};
 
-/// Most duties of a fleet; more are not taken.
-pub const MOST_DUTIES: usize = 4096;
-/// A finding holds lesser claims off for so many periods.
-const HOLDS: f64 = 2.2;
-/// Members in the order of their claims that step in for one another, and after how many periods without a finding
-/// each next one does.
-const IN_LINE: usize = 4;
-const STEPS_IN: f64 = 3.0;
-/// A duty that was given to the driver and never came back is given again after so many periods.
-const LOST: f64 = 2.0;
-
-/// A claim of a member on a duty; the highest has it.
+/// Maximum number of duties of a fleet; further ones are ignored.
+pub const MAX_DUTIES: usize = 4096;
+/// Periods after a run during which members with lesser claims do not run the duty.
+const CLAIM_HOLD_PERIODS: f64 = 2.2;
+/// Number of members with the best claims that may run a duty in place of one another.
+const CANDIDATES: usize = 4;
+/// Periods without a result after which the next candidate takes over.
+const TAKEOVER_PERIODS: f64 = 3.0;
+/// Periods after which a duty is given to the driver again if the driver reported no result.
+const RETRY_PERIODS: f64 = 2.0;
+
+/// Claim of a member on a duty, by its weight; the member with the highest claim owns the duty.
 pub fn claim(duty: DutyId, member: MemberId, weight: u8) -> f64 {
     let mut bytes = [0; 6];
     bytes[..4].copy_from_slice(&duty.0.to_le_bytes());
     bytes[4..].copy_from_slice(&member.0.to_le_bytes());
-    // In (0, 1): never its logarithm of 0.
-    let draw = ((xxh3_64(&bytes) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -f64::from(weight) / draw.ln()
+    // Above 0, so that its logarithm is finite.
+    let fraction = ((xxh3_64(&bytes) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    -f64::from(weight) / fraction.ln()
 }
 
-/// The members with the best claims, best first, so many at most.
-pub fn foremost<C: PartialOrd>(claims: impl Iterator<Item = (C, MemberId)>, count: usize) -> Vec<MemberId> {
-    let mut line: Vec<(C, MemberId)> = Vec::with_capacity(count + 1);
+/// The members with the highest claims, highest first, at most `count`.
+pub fn highest_ranked<C: PartialOrd>(
+    claims: impl Iterator<Item = (C, MemberId)>, count: usize,
+) -> Vec<MemberId> {
+    let mut ranked: Vec<(C, MemberId)> = Vec::with_capacity(count + 1);
     for (claim, member) in claims {
-        let at = line.partition_point(|(better, _)| *better >= claim);
-        if at < count {
-            line.insert(at, (claim, member));
-            line.truncate(count);
+        let rank = ranked.partition_point(|(better, _)| *better >= claim);
+        if rank < count {
+            ranked.insert(rank, (claim, member));
+            ranked.truncate(count);
         }
     }
-    line.into_iter().map(|(_, member)| member).collect()
+    ranked.into_iter().map(|(_, member)| member).collect()
 }
 
+/// Last known run of a duty.
 #[derive(Clone, Copy, Debug)]
-struct Last {
+struct LastRun {
     at: f64,
-    by: MemberId,
+    done_by: MemberId,
     weight: u8,
     good: bool,
 }
 
+/// What is known of one duty.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct DutyState {
+    /// Number of the last known run.
     round: u32,
-    last: Option<Last>,
-    /// Live members with the best claims, best first: whose it is, and who steps in.
-    line: Vec<MemberId>,
-    told: u8,
-    /// Given to the driver, and not back.
-    given: Option<f64>,
+    last_run: Option<LastRun>,
+    /// Live members with the best claims, best first: the owner, then the members that take over in turn.
+    candidates: Vec<MemberId>,
+    /// Datagrams that the last result was sent in.
+    times_sent: u8,
+    /// When the duty was given to the driver, while its result is outstanding.
+    running_since: Option<f64>,
 }
 
+/// All duties of the fleet, as one member knows them.
 pub struct Duties {
-    me: MemberId,
+    own_id: MemberId,
     weight: u8,
-    every: f64,
+    /// Seconds between two runs of a duty.
+    interval: f64,
+    /// Whether this member leaves duties to members with better claims.
     yields: bool,
-    known: BTreeMap<DutyId, Known>,
-    queue: BTreeSet<(u8, DutyId)>,
-    /// Live members when owners were worked out last.
-    shared_by: Option<u64>,
-    next_at: f64,
+    states: BTreeMap<DutyId, DutyState>,
+    /// Duties whose last result is still to be sent, ordered by how often it was sent.
+    send_queue: BTreeSet<(u8, DutyId)>,
+    /// Version of the set of live members that the candidates were computed from.
+    candidates_version: Option<u64>,
+    next_due_at: f64,
     started: f64,
+    /// Times that this member left a duty to one with a better claim.
     pub yielded: u64,
 }
 
 impl Duties {
-    pub fn new(now: f64, me: MemberId, weight: u8, every: f64, yields: bool) -> Duties {
+    pub fn new(now: f64, own_id: MemberId, weight: u8, interval: f64, yields: bool) -> Duties {
         Duties {
-            me,
+            own_id,
             weight,
-            every,
+            interval,
             yields,
-            known: BTreeMap::new(),
-            queue: BTreeSet::new(),
-            shared_by: None,
-            next_at: now,
+            states: BTreeMap::new(),
+            send_queue: BTreeSet::new(),
+            candidates_version: None,
+            next_due_at: now,
             started: now,
             yielded: 0,
         }
     }
 
-    /// The duties that there are from now on; what is known of those that stay is kept.
+    /// Replaces the set of duties. What is known of duties that stay in the set is kept.
     pub fn set(&mut self, now: f64, all: &[DutyId]) {
-        let all: BTreeSet<DutyId> = all.iter().take(MOST_DUTIES).copied().collect();
-        self.known.retain(|duty, _| all.contains(duty));
-        self.queue.retain(|(_, duty)| all.contains(duty));
+        let all: BTreeSet<DutyId> = all.iter().take(MAX_DUTIES).copied().collect();
+        self.states.retain(|duty, _| all.contains(duty));
+        self.send_queue.retain(|(_, duty)| all.contains(duty));
         for duty in all {
-            self.known.entry(duty).or_default();
+            self.states.entry(duty).or_default();
         }
-        (self.shared_by, self.next_at) = (None, now);
+        (self.candidates_version, self.next_due_at) = (None, now);
     }
 
-    /// When [`Duties::due`] has something to do, by what is known now.
-    pub fn next_at(&self) -> f64 {
-        self.next_at
+    /// Clock time at which [`Duties::take_due`] next has a duty to run, by what is known now.
+    pub fn next_due_at(&self) -> f64 {
+        self.next_due_at
     }
 
-    fn share(&mut self, version: u64, live: &[(MemberId, u8)]) {
-        if self.shared_by.replace(version) == Some(version) {
+    fn update_candidates(&mut self, version: u64, live: &[(MemberId, u8)]) {
+        if self.candidates_version.replace(version) == Some(version) {
             return;
         }
-        for (duty, known) in &mut self.known {
+        for (duty, state) in &mut self.states {
             let claims = live.iter().map(|(member, weight)| (claim(*duty, *member, *weight), *member));
-            known.line = foremost(claims, IN_LINE);
+            state.candidates = highest_ranked(claims, CANDIDATES);
         }
     }
 
-    /// What this member has to do now: by the live members, whose `version` changes with them, and not before
-    /// `from`, until when it looks on.
-    pub fn due(&mut self, now: f64, version: u64, live: &[(MemberId, u8)], from: f64) -> Vec<DutyId> {
-        self.share(version, live);
-        let (me, weight, every) = (self.me, self.weight, self.every);
+    /// Duties that this member has to run now, given the live members with their weights. `version` changes with the set
+    /// of live members. No duty is run before `from`.
+    pub fn take_due(&mut self, now: f64, version: u64, live: &[(MemberId, u8)], from: f64) -> Vec<DutyId> {
+        self.update_candidates(version, live);
+        let (own_id, weight, interval) = (self.own_id, self.weight, self.interval);
         let mut due = Vec::new();
-        self.next_at = f64::INFINITY;
-        for (duty, known) in &mut self.known {
-            let Some(place) = known.line.iter().position(|member| *member == me) else { continue };
-            // First rounds are spread over a period; later ones keep the step of whoever did the last. Who steps in does
-            // so more seldom: at the same pace the one with the better claim, back again, would do it in step with it.
-            let late = every * STEPS_IN * place as f64;
-            let first = || self.started + every * f64::from(duty.0 & 0xff) / 256.0 + late;
-            let next = |last: Last| last.at + every + late;
-            let mut at = known.last.map_or_else(first, next).max(from);
-            if let Some(given) = known.given {
-                at = at.max(given + LOST * every);
+        self.next_due_at = f64::INFINITY;
+        for (duty, state) in &mut self.states {
+            let Some(rank) = state.candidates.iter().position(|member| *member == own_id) else { continue };
+            // The first runs of all duties are spread over one interval; each later run follows one interval after the
+            // last, whichever member ran that. A member that took over runs the duty less often: at the same rate, a
+            // member with a better claim that returned would keep running it at the same moments.
+            let takeover_delay = interval * TAKEOVER_PERIODS * rank as f64;
+            let first_run = || self.started + interval * f64::from(duty.0 & 0xff) / 256.0 + takeover_delay;
+            let next_run = |last: LastRun| last.at + interval + takeover_delay;
+            let mut due_at = state.last_run.map_or_else(first_run, next_run).max(from);
+            if let Some(running_since) = state.running_since {
+                due_at = due_at.max(running_since + RETRY_PERIODS * interval);
             }
-            let better = known.last.filter(|last| {
-                last.by != me && claim(*duty, last.by, last.weight) > claim(*duty, me, weight)
+            let better_claim = state.last_run.filter(|last| {
+                last.done_by != own_id
+                    && claim(*duty, last.done_by, last.weight) > claim(*duty, own_id, weight)
             });
-            if let Some(last) = better.filter(|_| self.yields) {
-                if now >= at && now < last.at + HOLDS * every {
+            if let Some(last) = better_claim.filter(|_| self.yields) {
+                if now >= due_at && now < last.at + CLAIM_HOLD_PERIODS * interval {
                     self.yielded += 1;
                 }
-                at = at.max(last.at + HOLDS * every);
+                due_at = due_at.max(last.at + CLAIM_HOLD_PERIODS * interval);
             }
-            if now >= at {
-                known.given = Some(now);
+            if now >= due_at {
+                state.running_since = Some(now);
                 due.push(*duty);
-                at = now + every;
+                due_at = now + interval;
             }
-            self.next_at = self.next_at.min(at);
+            self.next_due_at = self.next_due_at.min(due_at);
         }
         due
     }
 
-    /// Looks again at the next chance: members or what is known of a duty changed.
-    pub fn look(&mut self, now: f64) {
-        self.next_at = self.next_at.min(now);
+    /// Makes the next tick check all duties again, after a change of the members or of the results.
+    pub fn recheck(&mut self, now: f64) {
+        self.next_due_at = self.next_due_at.min(now);
     }
 
-    fn keep(&mut self, duty: DutyId, round: u32, last: Last) {
-        let Some(known) = self.known.get_mut(&duty) else { return };
-        self.queue.remove(&(known.told, duty));
-        (known.round, known.last, known.told) = (round, Some(last), 0);
-        self.queue.insert((0, duty));
+    fn store(&mut self, duty: DutyId, round: u32, last_run: LastRun) {
+        let Some(state) = self.states.get_mut(&duty) else { return };
+        self.send_queue.remove(&(state.times_sent, duty));
+        (state.round, state.last_run, state.times_sent) = (round, Some(last_run), 0);
+        self.send_queue.insert((0, duty));
     }
 
-    /// This member did it.
-    pub fn found(&mut self, now: f64, duty: DutyId, good: bool) {
-        let Some(known) = self.known.get_mut(&duty) else { return };
-        known.given = None;
-        let round = known.round.saturating_add(1);
-        self.keep(duty, round, Last { at: now, by: self.me, weight: self.weight, good });
+    /// Records that this member ran a duty.
+    pub fn record_own_run(&mut self, now: f64, duty: DutyId, good: bool) {
+        let Some(state) = self.states.get_mut(&duty) else { return };
+        state.running_since = None;
+        let round = state.round.saturating_add(1);
+        self.store(duty, round, LastRun { at: now, done_by: self.own_id, weight: self.weight, good });
     }
 
-    /// Another's finding, as told. Of two the later round holds, then the better claim, in whatever order they come: two
-    /// that do a duty in step both learn whose it is.
-    /// One that comes `from` the member that did it, and is behind what is known here, makes it be told again: a member
-    /// that joins late has heard of no rounds before.
-    pub fn told(&mut self, now: f64, from: MemberId, finding: &DutyResult) {
-        let Some(known) = self.known.get(&finding.duty) else { return };
-        let theirs = claim(finding.duty, finding.by, finding.weight);
-        let ours = |last: Last| claim(finding.duty, last.by, last.weight);
-        let newer = known.last.is_none_or(|last| {
-            let claims = theirs.total_cmp(&ours(last)).then(finding.by.cmp(&last.by));
-            finding.round.cmp(&known.round).then(claims).is_gt()
+    /// Applies a result that another member sent. Of two results the one of the later round applies, then the one with
+    /// the better claim, in whatever order they arrive, so that two members that run a duty in step both learn which of
+    /// them owns it.
+    ///
+    /// A result that comes from the member that ran the duty, and is behind what is known here, makes the known result be
+    /// sent again: a member that joined late has not received earlier rounds.
+    pub fn apply_result(&mut self, now: f64, sender: MemberId, result: &DutyResult) {
+        let Some(state) = self.states.get(&result.duty) else { return };
+        let received_claim = claim(result.duty, result.done_by, result.weight);
+        let known_claim = |last: LastRun| claim(result.duty, last.done_by, last.weight);
+        let newer = state.last_run.is_none_or(|last| {
+            let claims = received_claim.total_cmp(&known_claim(last)).then(result.done_by.cmp(&last.done_by));
+            result.round.cmp(&state.round).then(claims).is_gt()
         });
-        if newer && finding.by != self.me {
-            let (by, weight, good) = (finding.by, finding.weight, finding.good);
-            let at = now - f64::from(finding.age) / 100.0;
-            self.keep(finding.duty, finding.round, Last { at, by, weight, good });
-        } else if finding.by == from && finding.round < known.round {
-            if let Some(last) = known.last {
-                self.keep(finding.duty, known.round, last);
+        if newer && result.done_by != self.own_id {
+            let (done_by, weight, good) = (result.done_by, result.weight, result.good);
+            let at = now - f64::from(result.age) / 100.0;
+            self.store(result.duty, result.round, LastRun { at, done_by, weight, good });
+        } else if result.done_by == sender && result.round < state.round {
+            if let Some(last) = state.last_run {
+                self.store(result.duty, state.round, last);
             }
         }
     }
 
-    /// Findings for one datagram, those told least first.
-    pub fn tell(&mut self, now: f64, most_times: u8) -> Vec<DutyResult> {
-        let picked: Vec<(u8, DutyId)> = self.queue.iter().take(MAX_DUTY_RESULTS).copied().collect();
-        let mut findings = Vec::new();
-        for (told, duty) in picked {
-            self.queue.remove(&(told, duty));
-            let Some(known) = self.known.get_mut(&duty) else { continue };
-            let Some(last) = known.last else { continue };
-            known.told = told + 1;
-            if known.told < most_times {
-                self.queue.insert((known.told, duty));
+    /// Results for one datagram, those sent least often first. Each result is sent at most `max_sends` times.
+    pub fn results_for_datagram(&mut self, now: f64, max_sends: u8) -> Vec<DutyResult> {
+        let picked: Vec<(u8, DutyId)> = self.send_queue.iter().take(MAX_DUTY_RESULTS).copied().collect();
+        let mut results = Vec::new();
+        for (times_sent, duty) in picked {
+            self.send_queue.remove(&(times_sent, duty));
+            let Some(state) = self.states.get_mut(&duty) else { continue };
+            let Some(last) = state.last_run else { continue };
+            state.times_sent = times_sent + 1;
+            if state.times_sent < max_sends {
+                self.send_queue.insert((state.times_sent, duty));
             }
             let age = ((now - last.at).max(0.0) * 100.0).min(f64::from(MAX_AGE)) as u16;
-            let (by, weight, good) = (last.by, last.weight, last.good);
-            findings.push(DutyResult { duty, round: known.round, by, weight, age, good });
+            let (done_by, weight, good) = (last.done_by, last.weight, last.good);
+            results.push(DutyResult { duty, round: state.round, done_by, weight, age, good });
         }
-        findings
+        results
     }
 
-    /// Seconds since it was done last, by whom, and whether it was good.
-    pub fn last(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
-        let last = self.known.get(&duty)?.last?;
-        Some((now - last.at, last.by, last.good))
+    /// Last known result of a duty: its age in seconds, the member that ran it, whether it was good.
+    pub fn last_result(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)> {
+        let last = self.states.get(&duty)?.last_run?;
+        Some((now - last.at, last.done_by, last.good))
     }
 
-    /// Puts off by a stop of this process: nothing that was given before it counts as out.
-    pub fn put_off(&mut self) {
-        self.known.values_mut().for_each(|known| known.given = None);
+    /// Forgets which duties the driver is running, after a stall of this process.
+    pub fn forget_running(&mut self) {
+        self.states.values_mut().for_each(|state| state.running_since = None);
     }
 }
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! The baseline to be measured against: heartbeats of each to all, dead after three that were missed, and everyone
-//! does every duty. Keeps no promise of the fleet on purpose.
+//! Baseline for comparisons: each member sends heartbeats to all others, records a member as dead after three missed
+//! heartbeats, and runs all duties itself. It deliberately gives none of the fleet's guarantees.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,19 @@
 use crate::message::{MemberUpdate, Message, MessageKind, MAX_PAGE_UPDATES, NOBODY};
 use crate::{Action, Counts, DutyId, FleetCore, MemberId, Standing, Status};
 
-const MISSED: f64 = 3.5;
+/// Check periods without a heartbeat after which a member is recorded as dead.
+const DEAD_AFTER_PERIODS: f64 = 3.5;
 
+/// A member that runs the baseline.
 pub struct HeartbeatBaseline {
     config: FleetConfig,
-    heard_at: BTreeMap<MemberId, f64>,
+    last_received: BTreeMap<MemberId, f64>,
     dead: BTreeMap<MemberId, bool>,
+    /// When each duty was run last, and whether its result was good.
     duties: BTreeMap<DutyId, Option<(f64, bool)>>,
-    next_at: f64,
-    number: u32,
+    next_tick_at: f64,
+    sequence: u32,
+    /// Index of the first member of the next page.
     page_from: usize,
     counts: Counts,
 }
@@ -24,25 +28,25 @@
     pub fn start(now: f64, config: FleetConfig) -> HeartbeatBaseline {
         HeartbeatBaseline {
             config,
-            heard_at: BTreeMap::new(),
+            last_received: BTreeMap::new(),
             dead: BTreeMap::new(),
             duties: BTreeMap::new(),
-            next_at: now,
-            number: 0,
+            next_tick_at: now,
+            sequence: 0,
             page_from: 0,
             counts: Counts::default(),
         }
     }
 
-    /// What it holds of a part of the members, so that what it holds can be judged from the links as the others'.
-    fn page(&mut self) -> Vec<MemberUpdate> {
+    /// A page of the recorded statuses, so that a test that reads the links can judge them like those of other cores.
+    fn next_page(&mut self) -> Vec<MemberUpdate> {
         let me = self.config.own_id;
         let known: Vec<MemberUpdate> = self
             .dead
             .iter()
             .map(|(member, dead)| {
                 let status = if *dead { Status::Dead } else { Status::Alive };
-                MemberUpdate { member: *member, incarnation: 1, refutation: 0, status, by: me }
+                MemberUpdate { member: *member, incarnation: 1, refutation: 0, status, suspected_by: me }
             })
             .collect();
         let from = if self.page_from < known.len() { self.page_from } else { 0 };
@@ -54,33 +58,34 @@
 impl FleetCore for HeartbeatBaseline {
     fn datagram_received(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>) {
         let Ok(message) = Message::decode(self.config.fleet, bytes) else {
-            self.counts.bad += 1;
+            self.counts.malformed += 1;
             return;
         };
-        self.counts.heard += 1;
-        self.heard_at.insert(message.from, now);
-        if self.dead.insert(message.from, false) != Some(false) {
-            out.push(Action::MemberStatusChanged(message.from, Status::Alive));
+        self.counts.received += 1;
+        self.last_received.insert(message.sender, now);
+        if self.dead.insert(message.sender, false) != Some(false) {
+            out.push(Action::MemberStatusChanged(message.sender, Status::Alive));
         }
     }
 
     fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        if now < self.next_at {
+        if now < self.next_tick_at {
             return;
         }
-        self.next_at = now + self.config.check_period;
-        for (member, at) in &self.heard_at {
-            if now - at > MISSED * self.config.check_period && self.dead.insert(*member, true) == Some(false)
+        self.next_tick_at = now + self.config.check_period;
+        for (member, at) in &self.last_received {
+            if now - at > DEAD_AFTER_PERIODS * self.config.check_period
+                && self.dead.insert(*member, true) == Some(false)
             {
                 self.counts.died += 1;
                 out.push(Action::MemberStatusChanged(*member, Status::Dead));
             }
         }
-        let updates = self.page();
+        let updates = self.next_page();
         let me = self.config.own_id;
-        let others: Vec<MemberId> = self.config.members.iter().map(|row| row.member).collect();
-        for (nth, to) in others.into_iter().filter(|member| *member != me).enumerate() {
-            self.number = self.number.wrapping_add(1);
+        let members: Vec<MemberId> = self.config.members.iter().map(|entry| entry.member).collect();
+        for (nth, to) in members.into_iter().filter(|member| *member != me).enumerate() {
+            self.sequence = self.sequence.wrapping_add(1);
             let (kind, updates) = if nth == 0 {
                 (MessageKind::StatePage, updates.clone())
             } else {
@@ -88,13 +93,13 @@
             };
             let message = Message {
                 kind,
-                from: me,
+                sender: me,
                 incarnation: 1,
                 refutation: 0,
-                number: self.number,
-                check: 0,
+                sequence: self.sequence,
+                check_id: 0,
                 member: NOBODY,
-                flag: false,
+                wants_reply: false,
                 updates,
                 duty_results: Vec::new(),
                 signal: Vec::new(),
@@ -104,18 +109,18 @@
             self.counts.sent_bytes += bytes.len() as u64;
             out.push(Action::SendDatagram(to, bytes));
         }
-        let every = self.config.duty_interval;
-        let due = self.duties.iter().filter(|(_, last)| last.is_none_or(|(at, _)| now - at >= every));
+        let interval = self.config.duty_interval;
+        let due = self.duties.iter().filter(|(_, last)| last.is_none_or(|(at, _)| now - at >= interval));
         let due: Vec<DutyId> = due.map(|(duty, _)| *duty).collect();
         for duty in due {
             self.duties.insert(duty, Some((now, true)));
-            self.counts.done += 1;
+            self.counts.duties_run += 1;
             out.push(Action::RunDuty(duty));
         }
     }
 
     fn next_tick_at(&self) -> f64 {
-        self.next_at
+        self.next_tick_at
     }
 
     fn set_duties(&mut self, _now: f64, all: &[DutyId]) {
--- a/crates/fleet/src/lending.rs
+++ b/crates/fleet/src/lending.rs
@@ -15,7 +15,7 @@
 use quaypath::types::{Account, Need};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::duty::foremost;
+use crate::duty::highest_ranked;
 use crate::signal::Part;
 use crate::MemberId;
 
@@ -246,7 +246,7 @@
             bytes[8..].copy_from_slice(&member.0.to_le_bytes());
             (xxh3_64(&bytes), *member)
         };
-        foremost(self.members.iter().filter(|member| !self.dead.contains(member)).map(claim), KNOWERS)
+        highest_ranked(self.members.iter().filter(|member| !self.dead.contains(member)).map(claim), KNOWERS)
     }
 
     /// Remembers a sharer; whether it is new.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,11 @@
-//! What the processes of a fleet agree upon, without I/O: who is in it, which nodes each one uses, who does what is
-//! to be done by one of them only, what they tell each other of nodes, and what they lend each other. Each core is a plain struct that takes events with the clock as an argument and
-//! emits [`Action`]s; a thin driver beside it, the simulation of [`simulation`] and the tests drive the same code.
+//! Agreement between the processes of a fleet, without I/O: which members are up ([`swim`]), which nodes each member
+//! uses ([`subset`]), which member runs a duty that only one is to run ([`duty`]), and the node reports and loans of
+//! units that members exchange ([`signal`], [`lending`]). Each core is a plain struct that takes events with the clock
+//! as an argument and emits [`Action`]s, so that the initiator's driver, the [`simulation`] and the tests run the same
+//! code.
 //!
-//! The published ideas behind it: SWIM (Das, Gupta, Motivala, 2002), Lifeguard (Dadgar, Phillips, Currey, 2017),
-//! rendezvous hashing (Thaler, Ravishankar, 1998). Design note: `docs/design/fleet.md`.
+//! Sources: SWIM (Das, Gupta, Motivala, 2002), Lifeguard (Dadgar, Phillips, Currey, 2017), rendezvous hashing (Thaler,
+//! Ravishankar, 1998). Design note: `docs/design/fleet.md`.
 
 pub mod config;
 pub mod duty;
@@ -24,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A shared duty; for probes the hash of the node's name, so that every member has the same without talk.
+/// A shared duty. The id is a hash of the duty's name, so that all members have the same id without exchanging it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DutyId(pub u32);
 
@@ -34,36 +36,38 @@
     }
 }
 
-/// What a core asks its driver to do.
+/// What a fleet core asks its driver to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// One datagram to a member.
+    /// Send one datagram to a member.
     SendDatagram(MemberId, Vec<u8>),
-    /// This duty now, once; what was found goes back by [`FleetCore::duty_done`].
+    /// Run this duty once, now, and report its result with [`FleetCore::duty_done`].
     RunDuty(DutyId),
-    /// The process's own standing changed.
+    /// The standing of this process changed.
     StandingChanged(Standing),
-    /// What is held of a member changed.
+    /// The status that this process records for a member changed.
     MemberStatusChanged(MemberId, Status),
-    /// A member's signal came.
+    /// A signal arrived from a member.
     SignalReceived(MemberId, Vec<u8>),
 }
 
-/// How a process stands in its fleet. It starts alone; whatever is built on the fleet is safe alone.
+/// How a process stands in its fleet. A process starts as [`Standing::Alone`]; everything built on the fleet is safe in
+/// that state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// Hears nobody.
+    /// Receives datagrams from no member.
     Alone,
-    /// Hears members.
+    /// Receives datagrams from other members.
     Together,
-    /// Another process lives under its name, started later: it keeps out of the fleet until that one is dead.
+    /// Another process that started later runs under this member number. This process takes no part in the fleet until
+    /// the other one is dead.
     Displaced,
-    /// Left in order.
+    /// Has announced its departure and takes no further part.
     Left,
 }
 
-/// What is held of a member, weakest first: of two with one refutation the later one in this order holds.
+/// Status of a member. For one incarnation and refutation number, the later status in this order overrides the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
@@ -73,52 +77,73 @@
     Left,
 }
 
-/// What a fleet core does for its driver; [`swim::SwimMember`], and [`heartbeat::HeartbeatBaseline`] to be measured against.
+/// A member's core as its driver uses it: [`swim::SwimMember`], or the baseline [`heartbeat::HeartbeatBaseline`].
 pub trait FleetCore {
-    /// A datagram came.
+    /// Handles a datagram that arrived.
     fn datagram_received(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>);
-    /// Does what is due.
+    /// Does all work that is due.
     fn tick(&mut self, now: f64, out: &mut Vec<Action>);
-    /// When the next tick is due; one that comes later than that tells the core that it had no turn.
+    /// Clock time at which the next tick is due. A call that comes much later tells the core that its process was
+    /// stalled.
     fn next_tick_at(&self) -> f64;
-    /// The duties that there are from now on, [`duty::MOST_DUTIES`] at most.
+    /// Replaces the set of duties; at most [`duty::MAX_DUTIES`] are kept.
     fn set_duties(&mut self, now: f64, all: &[DutyId]);
-    /// A duty was done, and what it found: good or not.
+    /// Records that this process ran a duty, and whether the result was good.
     fn duty_done(&mut self, now: f64, duty: DutyId, good: bool);
-    /// What was found last of a duty, by whomever: seconds ago, by whom, good or not.
+    /// Last known result of a duty, from any member: its age in seconds, the member that ran it, whether it was good.
     fn last_result(&self, now: f64, duty: DutyId) -> Option<(f64, MemberId, bool)>;
-    /// One signal to a member, 256 bytes at most; nothing while this process is out of the fleet.
+    /// Sends a signal of at most 256 bytes to a member. Does nothing while this process takes no part in the fleet.
     fn send_signal(&mut self, _now: f64, _to: MemberId, _signal: &[u8], _out: &mut Vec<Action>) {}
-    /// Leaves in order.
+    /// Announces to other members that this process leaves the fleet.
     fn leave(&mut self, now: f64, out: &mut Vec<Action>);
     fn standing(&self) -> Standing;
-    /// Members held alive or suspected, this one among them.
+    /// Members that are recorded as alive or suspected, including this one.
     fn live_members(&self) -> Vec<MemberId>;
     fn counts(&self) -> &Counts;
 }
 
-/// What a core counted since its start.
+/// Counters of a fleet core since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
+    /// Datagrams sent.
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard: u64,
-    /// Dropped: cut short, damaged or noise; another version; another fleet; not of the list of members; of an
-    /// earlier incarnation of its sender; said before.
-    pub bad: u64,
-    pub version: u64,
-    pub foreign: u64,
-    pub unknown: u64,
-    pub old: u64,
-    pub repeated: u64,
+    /// Datagrams received and accepted.
+    #[serde(rename = "heard")]
+    pub received: u64,
+    /// Datagrams dropped because they were truncated, damaged or noise.
+    #[serde(rename = "bad")]
+    pub malformed: u64,
+    /// Datagrams dropped because they have another protocol version.
+    #[serde(rename = "version")]
+    pub wrong_version: u64,
+    /// Datagrams dropped because they belong to another fleet.
+    #[serde(rename = "foreign")]
+    pub other_fleet: u64,
+    /// Datagrams dropped because their sender is not on the list of members.
+    #[serde(rename = "unknown")]
+    pub unknown_sender: u64,
+    /// Datagrams dropped because they come from an earlier incarnation of their sender.
+    #[serde(rename = "old")]
+    pub old_incarnation: u64,
+    /// Datagrams dropped because they were received before.
+    #[serde(rename = "repeated")]
+    pub duplicates: u64,
+    /// Suspicions of other members that this process recorded.
     pub suspected: u64,
-    /// Suspicions of this process that it refuted, and of others that were taken back.
+    /// Suspicions of this process that it refuted.
     pub refuted: u64,
+    /// Suspicions of other members that were refuted.
     pub cleared: u64,
+    /// Members that this process recorded as dead.
     pub died: u64,
-    /// Times that this process found itself without its turn.
-    pub no_turn: u64,
-    pub done: u64,
-    /// Duties left to another that does them, against this process's own list.
+    /// Times that this process detected that it had been stalled.
+    #[serde(rename = "no_turn")]
+    pub stalls: u64,
+    /// Duties that this process ran.
+    #[serde(rename = "done")]
+    pub duties_run: u64,
+    /// Duties that this process owns by its own list of live members but left to a member with a better claim that runs
+    /// them.
     pub yielded: u64,
 }
--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -20,9 +20,9 @@
 use nanorand::{Rng, WyRand};
 use quaypath::types::{Account, BlockId, Need};
 
-use crate::fields::{Fields, Short};
+use crate::fields::{Fields, UnexpectedEnd};
 use crate::lending::{Ledger, Lend, LendCounts, Safeguard, LOOK, MOST_TOLD};
-use crate::membership::Came;
+use crate::membership::ReplayWindow;
 use crate::MemberId;
 
 /// Longest message, bytes: the simulator's wire allows no more.
@@ -97,8 +97,8 @@
     WrongVersion,
 }
 
-impl From<Short> for DecodeError {
-    fn from(_: Short) -> DecodeError {
+impl From<UnexpectedEnd> for DecodeError {
+    fn from(_: UnexpectedEnd) -> DecodeError {
         DecodeError::Malformed
     }
 }
@@ -262,7 +262,7 @@
 struct Peer {
     incarnation: u32,
     heard_at: f64,
-    came: Came,
+    came: ReplayWindow,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -535,7 +535,7 @@
         if from == self.config.own_id || !self.config.members.contains(&from) {
             return self.counts.unknown += 1;
         }
-        let fresh = Peer { incarnation: signal.incarnation, heard_at: now, came: Came::default() };
+        let fresh = Peer { incarnation: signal.incarnation, heard_at: now, came: ReplayWindow::default() };
         let peer = self.peers.entry(from).or_insert_with(|| fresh.clone());
         if peer.incarnation != signal.incarnation {
             let newer = signal.incarnation.wrapping_sub(peer.incarnation) as i32 > 0;
@@ -549,7 +549,7 @@
         }
         peer.heard_at = now;
         let first =
-            peer.came.first(signal.number) || self.config.disabled_safeguard == Some(Safeguard::Repeats);
+            peer.came.insert(signal.number) || self.config.disabled_safeguard == Some(Safeguard::Repeats);
         self.counts.heard += 1;
         self.counts.repeated += u64::from(!first);
         let mut out = Vec::new();
--- a/crates/fleet/tests/any.rs
+++ b/crates/fleet/tests/any.rs
@@ -1,8 +1,9 @@
-//! Properties: any bytes decode without panic, what is encoded decodes to itself, the roll does not care for order.
+//! Properties: decoding never panics, an encoded message decodes to itself, the order of updates does not change the
+//! membership table, subsets of nodes have the right size.
 
 use proptest::prelude::*;
 use quaypath_fleet::config::FleetConfig;
-use quaypath_fleet::membership::Roll;
+use quaypath_fleet::membership::MembershipTable;
 use quaypath_fleet::message::{
     fleet_hash, DutyResult, MemberUpdate, Message, MessageKind, MAX_DATAGRAM_BYTES, MAX_DUTY_RESULTS,
     MAX_UPDATES,
@@ -17,22 +18,22 @@
 
 fn member_update() -> impl Strategy<Value = MemberUpdate> {
     (0u16..6, 0u64..4, 0u32..3, status(), 0u16..6).prop_map(
-        |(member, incarnation, refutation, status, by)| MemberUpdate {
+        |(member, incarnation, refutation, status, suspected_by)| MemberUpdate {
             member: MemberId(member),
             incarnation,
             refutation,
             status,
-            by: MemberId(by),
+            suspected_by: MemberId(suspected_by),
         },
     )
 }
 
 fn duty_result() -> impl Strategy<Value = DutyResult> {
     (any::<u32>(), any::<u32>(), any::<u16>(), any::<u8>(), 0u16..0x7fff, any::<bool>()).prop_map(
-        |(duty, round, by, weight, age, good)| DutyResult {
+        |(duty, round, done_by, weight, age, good)| DutyResult {
             duty: DutyId(duty),
             round,
-            by: MemberId(by),
+            done_by: MemberId(done_by),
             weight,
             age,
             good,
@@ -52,22 +53,22 @@
         prop::collection::vec(member_update(), 0..=MAX_UPDATES),
         prop::collection::vec(duty_result(), 0..=MAX_DUTY_RESULTS),
     );
-    let own = (0u16..6, 0u64..4, 0u32..3, any::<u32>(), any::<u32>(), 0u16..6, any::<bool>());
-    // A signal goes without news.
+    let header = (0u16..6, 0u64..4, 0u32..3, any::<u32>(), any::<u32>(), 0u16..6, any::<bool>());
+    // A message with a signal carries no updates.
     let signal = prop::collection::vec(any::<u8>(), 0..=quaypath_fleet::signal::MAX_SIGNAL_BYTES);
-    (kind, own, lists, signal).prop_map(|(kind, own, (updates, duty_results), signal)| {
+    (kind, header, lists, signal).prop_map(|(kind, header, (updates, duty_results), signal)| {
         let signal = if updates.is_empty() { signal } else { Vec::new() };
-        let (from, incarnation, refutation, number, check, member, flag) = own;
-        let (from, member) = (MemberId(from), MemberId(member));
+        let (sender, incarnation, refutation, sequence, check_id, member, wants_reply) = header;
+        let (sender, member) = (MemberId(sender), MemberId(member));
         Message {
             kind,
-            from,
+            sender,
             incarnation,
             refutation,
-            number,
-            check,
+            sequence,
+            check_id,
             member,
-            flag,
+            wants_reply,
             updates,
             duty_results,
             signal,
@@ -77,7 +78,7 @@
 
 proptest! {
     #[test]
-    fn what_is_encoded_decodes_to_itself(message in message()) {
+    fn encoded_message_decodes_to_itself(message in message()) {
         let bytes = message.encode(fleet_hash("x"));
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(Message::decode(fleet_hash("x"), &bytes), Ok(message));
@@ -88,9 +89,9 @@
         let _ = Message::decode(fleet_hash("x"), &bytes);
     }
 
-    /// Whole by their check and wrong in any field: a member takes them without panic, and stays bounded.
+    /// A member handles messages with a correct checksum and arbitrary fields without panic, and keeps to its list.
     #[test]
-    fn a_member_takes_any_messages(messages in prop::collection::vec(message(), 0..60)) {
+    fn member_handles_any_messages(messages in prop::collection::vec(message(), 0..60)) {
         let mut core = SwimMember::start(0.0, 1e9, 3, FleetConfig::uniform("x", 0, 5));
         let (mut now, mut out) = (0.0, Vec::new());
         for message in messages {
@@ -102,32 +103,32 @@
     }
 
     #[test]
-    fn the_roll_ends_alike_in_any_order(mut all in prop::collection::vec(member_update(), 0..20), seed in any::<u64>()) {
-        let ends = |all: &[MemberUpdate]| {
-            let mut roll = Roll::new((0..6).map(MemberId));
-            for news in all {
-                roll.take(0.0, news);
+    fn order_of_updates_does_not_change_the_table(mut updates in prop::collection::vec(member_update(), 0..20), seed in any::<u64>()) {
+        let table_after = |updates: &[MemberUpdate]| {
+            let mut table = MembershipTable::new((0..6).map(MemberId));
+            for update in updates {
+                table.apply(0.0, update);
             }
-            let known = roll.all().map(|(member, held)| {
-                (member, held.map(|held| (held.incarnation, held.refutation, held.status)))
+            let records = table.entries().map(|(member, record)| {
+                (member, record.map(|record| (record.incarnation, record.refutation, record.status)))
             });
-            (known.collect::<Vec<_>>(), roll.live_count())
+            (records.collect::<Vec<_>>(), table.live_count())
         };
-        let first = ends(&all);
-        let mut chance = nanorand::WyRand::new_seed(seed);
-        nanorand::Rng::shuffle(&mut chance, &mut all);
-        all.extend_from_within(..all.len() / 2);
-        prop_assert_eq!(first, ends(&all));
+        let expected = table_after(&updates);
+        let mut rng = nanorand::WyRand::new_seed(seed);
+        nanorand::Rng::shuffle(&mut rng, &mut updates);
+        updates.extend_from_within(..updates.len() / 2);
+        prop_assert_eq!(expected, table_after(&updates));
     }
 
-    /// Bounded subsets keep to their bound, and each member has what it should.
+    /// With every method, each member has the number of nodes that it should, and the load spread is computed.
     #[test]
-    fn bounded_subsets_keep_the_bound(members in 1u16..60, nodes in 1usize..40, count in 1usize..9) {
+    fn subsets_have_the_requested_size(members in 1u16..60, nodes in 1usize..40, count in 1usize..9) {
         let members: Vec<MemberId> = (0..members).map(MemberId).collect();
         let nodes: Vec<NodeHash> = (0..nodes).map(|nth| NodeHash::of(&nth.to_string())).collect();
         for way in [Way::Rendezvous, Way::Bounded, Way::Rounds] {
             let subsets = all(way, &members, &nodes, count);
-            prop_assert!(subsets.values().all(|own| own.len() == count.min(nodes.len())));
+            prop_assert!(subsets.values().all(|subset| subset.len() == count.min(nodes.len())));
             prop_assert!(spread(&subsets, &nodes) >= 0.99);
         }
     }
