--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -1,11 +1,11 @@
-//! The thin driver beside a fleet core: datagrams, its timer, and the duties that it gives. What is decided is
-//! [`quaypath_fleet`]'s.
+//! The driver of a fleet core: datagrams, its timer, and the duties that it assigns. [`quaypath_fleet`] makes all
+//! decisions.
 //!
-//! The first duty is the probe of the node that holds a part of the data: its access states are read on an
-//! association's admin queue, which is kept as a spare connection for as long as the duty is this member's.
+//! The only duty so far is the probe of the node that holds a block: its ANA access states are read on the admin queue of
+//! an association, which is kept open as a spare connection for as long as this member has the duty.
 //!
-//! Bounds: datagrams of [`MAX_DATAGRAM_BYTES`] bytes, [`BATCH`] of them before others have a turn; probes end with the connect
-//! time-out; associations kept are of nodes that this member was given last.
+//! Bounds: datagrams have at most [`MAX_DATAGRAM_BYTES`] bytes, and [`DATAGRAM_BATCH`] of them are read before other tasks
+//! run. Probes end with the connect timeout. Spare associations are kept only for nodes of the current node list.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -36,75 +36,79 @@
 use crate::polls::{spawn, Peer, TaskKind};
 use crate::queue::{open_admin_queue, submit_and_wait, Queue};
 
-/// Datagrams read before others have a turn.
-const BATCH: usize = 32;
-/// Longest time between two looks at the list and at the clock, which may be made to run wrong meanwhile, seconds.
-const LOOK: f64 = 0.5;
-/// Time between two log lines of the counts, seconds.
-const REPORT: f64 = 10.0;
+/// Datagrams that are read before other tasks run.
+const DATAGRAM_BATCH: usize = 32;
+/// Longest time between two checks of the node list and of the clock, whose rate may have been changed meanwhile, seconds.
+const CHECK_INTERVAL: f64 = 0.5;
+/// Time between two log lines with the counters, seconds.
+const REPORT_INTERVAL: f64 = 10.0;
 
-/// A clock that can be made to run wrong while it is used, by days.
+/// A clock whose rate and offset can be changed while it is in use, to inject clock faults in a day.
 #[derive(Clone, Default)]
-pub struct SkewedClock(Arc<Mutex<Option<Rated>>>);
+pub struct SkewedClock(Arc<Mutex<Option<ClockSkew>>>);
 
-/// From the true time `since`, shown as `shown`, on at this rate.
+/// The clock shows `shown` at the true time `since`, and runs at `rate` from then on.
 #[derive(Clone, Copy)]
-struct Rated {
+struct ClockSkew {
+    /// True time, seconds.
     since: f64,
+    /// Skewed wall clock time at `since`, seconds.
     shown: f64,
+    /// Skewed seconds per true second.
     rate: f64,
-    /// Steps up to then, which the monotonic clock does not take.
+    /// Sum of all steps up to `since`, seconds. They do not apply to the monotonic clock.
     steps: f64,
 }
 
 impl SkewedClock {
-    /// What this clock shows at a true time, seconds; and its rate.
+    /// The skewed wall clock time at a true time, seconds, and the rate of the clock.
     fn wall_clock(&self, now: f64) -> (f64, f64) {
-        let rated = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        rated.map_or((now, 1.0), |rated| (rated.shown + (now - rated.since) * rated.rate, rated.rate))
+        let skew = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        skew.map_or((now, 1.0), |skew| (skew.shown + (now - skew.since) * skew.rate, skew.rate))
     }
 
-    /// From now on it runs at this rate, after a step forward of so many seconds.
+    /// Sets the rate from the true time `now` on, after a step forward of `step` seconds. The rate is limited to 0.1 to 10.
     pub fn set(&self, now: f64, rate: f64, step: f64) {
         let shown = self.wall_clock(now).0 + step.max(0.0);
         let steps = shown - self.monotonic(now);
         let rate = rate.clamp(0.1, 10.0);
         *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) =
-            Some(Rated { since: now, shown, rate, steps });
+            Some(ClockSkew { since: now, shown, rate, steps });
     }
 
-    /// As [`SkewedClock::wall_clock`], without its steps: those are of the wall clock.
+    /// The skewed monotonic time at a true time, seconds: like [`SkewedClock::wall_clock`], but without its steps.
     pub fn monotonic(&self, now: f64) -> f64 {
-        let rated = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        rated.map_or(now, |rated| rated.shown - rated.steps + (now - rated.since) * rated.rate)
+        let skew = *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        skew.map_or(now, |skew| skew.shown - skew.steps + (now - skew.since) * skew.rate)
     }
 }
 
-/// What a member is started with.
+/// Start parameters of a fleet member.
 #[derive(Clone)]
 pub struct Options {
     pub socket: Rc<UdpSocket>,
     pub addresses: BTreeMap<MemberId, SocketAddr>,
-    pub figures: FleetConfig,
+    pub config: FleetConfig,
     pub seed: u64,
-    /// Host name at the nodes that are probed, and how long a probe may take, seconds.
+    /// NVMe qualified name of this host at the nodes that it probes.
     pub name: String,
+    /// Timeout of a probe, seconds.
     pub probe_timeout: f64,
-    /// The baseline, for comparison only.
+    /// Runs the heartbeat baseline, which exists for comparison only.
     pub baseline: bool,
     pub skewed_clock: SkewedClock,
-    /// What initiators tell and lend each other; none where the settings switch both off.
+    /// Configuration of the reports and loans between initiators; none when the settings switch both off.
     pub signals: Option<signal::SignalConfig>,
-    pub manner: SignalControl,
+    pub signal_control: SignalControl,
 }
 
-/// How the process signals, as a day's script sets it while it runs.
+/// Sets how the process signals while it runs, as the script of a day requires.
 #[derive(Clone, Default)]
 pub struct SignalControl(Arc<Mutex<SignalBehavior>>);
 
 impl SignalControl {
-    pub fn set(&self, manner: SignalBehavior) {
-        *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = manner;
+    pub fn set(&self, behavior: SignalBehavior) {
+        *self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = behavior;
     }
 
     fn get(&self) -> SignalBehavior {
@@ -112,41 +116,47 @@
     }
 }
 
-type Home = Weak<RefCell<Instance>>;
+type WeakInstance = Weak<RefCell<Instance>>;
 
+/// Driver of one fleet member.
 pub struct Fleet {
     core: Box<dyn FleetCore>,
     options: Options,
     clock: Clock,
-    instance: Home,
-    /// By duty: the part of the data and the node that is probed.
-    probed: BTreeMap<DutyId, (BlockId, NodeId)>,
-    /// What the last finding was, to log what changed.
-    good: BTreeMap<DutyId, bool>,
+    instance: WeakInstance,
+    /// The block and the node to probe, by duty.
+    probe_targets: BTreeMap<DutyId, (BlockId, NodeId)>,
+    /// Last result of each probe, so that only changes are logged.
+    last_good: BTreeMap<DutyId, bool>,
+    /// Admin queues that are kept open, by node.
     spare: BTreeMap<NodeId, Queue>,
-    looked_at: f64,
+    /// Clock time of the last check of the node list, seconds.
+    checked_at: f64,
+    /// Clock time of the last log line with the counters, seconds.
     reported_at: f64,
-    wake: Rc<Notify>,
+    tick_changed: Rc<Notify>,
     executor: Weak<LocalExecutor<'static>>,
-    me: Weak<RefCell<Fleet>>,
+    weak_self: Weak<RefCell<Fleet>>,
 }
 
-/// The duty of probing the node that holds this part of the data: the same at all members, whoever holds it.
-pub fn probe_of(block: BlockId) -> DutyId {
+/// The duty of probing the node that holds a block. It is the same at all members, whichever node holds the block.
+pub fn probe_duty(block: BlockId) -> DutyId {
     DutyId::of(&format!("probe block {}", block.0))
 }
 
-type Shared = Rc<RefCell<Fleet>>;
+type SharedFleet = Rc<RefCell<Fleet>>;
 
-/// Starts a member on an executor.
-pub fn start(options: Options, executor: &Rc<LocalExecutor<'static>>, instance: Home) -> io::Result<Shared> {
+/// Starts a fleet member on an executor.
+pub fn start(
+    options: Options, executor: &Rc<LocalExecutor<'static>>, instance: WeakInstance,
+) -> io::Result<SharedFleet> {
     let clock = Clock::default();
     let (now, _) = options.skewed_clock.wall_clock(clock.now());
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-    let figures = options.figures.clone();
+    let config = options.config.clone();
     let core: Box<dyn FleetCore> = match options.baseline {
-        true => Box::new(HeartbeatBaseline::start(now, figures)),
-        false => Box::new(SwimMember::start(now, wall, options.seed, figures)),
+        true => Box::new(HeartbeatBaseline::start(now, config)),
+        false => Box::new(SwimMember::start(now, wall, options.seed, config)),
     };
     options.socket.set_nonblocking(true)?;
     let fleet = Rc::new(RefCell::new(Fleet {
@@ -154,40 +164,43 @@
         options,
         clock,
         instance: instance.clone(),
-        probed: BTreeMap::new(),
-        good: BTreeMap::new(),
+        probe_targets: BTreeMap::new(),
+        last_good: BTreeMap::new(),
         spare: BTreeMap::new(),
-        looked_at: f64::NEG_INFINITY,
+        checked_at: f64::NEG_INFINITY,
         reported_at: now,
-        wake: Rc::default(),
+        tick_changed: Rc::default(),
         executor: Rc::downgrade(executor),
-        me: Weak::new(),
+        weak_self: Weak::new(),
     }));
-    fleet.borrow_mut().me = Rc::downgrade(&fleet);
-    spawn(executor, TaskKind::Fleet, Peer::None, hear(Rc::downgrade(&fleet)));
-    spawn(executor, TaskKind::Fleet, Peer::None, tick(Rc::downgrade(&fleet)));
-    spawn(executor, TaskKind::Fleet, Peer::None, speak(Rc::downgrade(&fleet), instance));
+    fleet.borrow_mut().weak_self = Rc::downgrade(&fleet);
+    spawn(executor, TaskKind::Fleet, Peer::None, receive_datagrams(Rc::downgrade(&fleet)));
+    spawn(executor, TaskKind::Fleet, Peer::None, run_ticks(Rc::downgrade(&fleet)));
+    spawn(executor, TaskKind::Fleet, Peer::None, send_signals(Rc::downgrade(&fleet), instance));
     Ok(fleet)
 }
 
-async fn hear(fleet: Weak<RefCell<Fleet>>) {
+/// Receives datagrams and passes them to the fleet core.
+async fn receive_datagrams(fleet: Weak<RefCell<Fleet>>) {
     let Some(socket) = fleet.upgrade().map(|fleet| fleet.borrow().options.socket.clone()) else { return };
     let Ok(readable) = Async::new_nonblocking(socket.clone()) else { return };
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let mut count = 0;
-        while count < BATCH {
+        while count < DATAGRAM_BATCH {
             let length = match socket.recv_from(&mut bytes) {
                 Ok((length, _)) => length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // Told of an earlier send that nobody took.
+                // The error belongs to an earlier datagram that was not delivered.
                 Err(_) => continue,
             };
             count += 1;
             let Some(fleet) = fleet.upgrade() else { return };
-            fleet.borrow_mut().turn(|core, now, out| core.datagram_received(now, &bytes[..length], out));
+            fleet
+                .borrow_mut()
+                .with_core(|core, now, actions| core.datagram_received(now, &bytes[..length], actions));
         }
-        if count == BATCH {
+        if count == DATAGRAM_BATCH {
             yield_now().await;
         } else if readable.readable().await.is_err() {
             return;
@@ -198,8 +211,8 @@
     }
 }
 
-/// Sends the instance's signals as they come up.
-async fn speak(fleet: Weak<RefCell<Fleet>>, instance: Home) {
+/// Sends the instance's signals as soon as they are ready.
+async fn send_signals(fleet: Weak<RefCell<Fleet>>, instance: WeakInstance) {
     let Some(ready) = instance.upgrade().and_then(|instance| instance.borrow().outgoing_signals_ready())
     else {
         return;
@@ -207,72 +220,75 @@
     loop {
         ready.wait().await;
         let (Some(fleet), Some(instance)) = (fleet.upgrade(), instance.upgrade()) else { return };
-        let tells = instance.borrow_mut().take_outgoing_signals();
-        for (to, bytes) in tells {
-            fleet.borrow_mut().turn(|core, now, out| core.send_signal(now, to, &bytes, out));
+        let signals = instance.borrow_mut().take_outgoing_signals();
+        for (to, bytes) in signals {
+            fleet.borrow_mut().with_core(|core, now, actions| core.send_signal(now, to, &bytes, actions));
         }
     }
 }
 
-async fn tick(fleet: Weak<RefCell<Fleet>>) {
+/// Runs the fleet core's timer and the periodic checks.
+async fn run_ticks(fleet: Weak<RefCell<Fleet>>) {
     loop {
-        let (wait, wake) = {
+        let (wait, tick_changed) = {
             let Some(fleet) = fleet.upgrade() else { return };
             let this = fleet.borrow();
             let (now, rate) = this.now();
-            let wait = ((this.core.next_tick_at() - now) / rate).clamp(0.0, LOOK);
-            (wait, this.wake.clone())
+            let wait = ((this.core.next_tick_at() - now) / rate).clamp(0.0, CHECK_INTERVAL);
+            (wait, this.tick_changed.clone())
         };
         let timer = async {
             Timer::after(Duration::from_secs_f64(wait)).await;
         };
-        timer.or(wake.wait()).await;
-        // What came together with us is heard first: an answer before the wait for it ends.
+        timer.or(tick_changed.wait()).await;
+        // Tasks that were woken together with this one run first, so that an answer that has arrived is handled before
+        // its timeout.
         yield_now().await;
         yield_now().await;
         let Some(fleet) = fleet.upgrade() else { return };
         let mut this = fleet.borrow_mut();
-        if !this.look() {
+        if !this.check() {
             return;
         }
         if this.now().0 >= this.core.next_tick_at() {
-            this.turn(|core, now, out| core.tick(now, out));
+            this.with_core(|core, now, actions| core.tick(now, actions));
         }
     }
 }
 
 impl Fleet {
-    /// This process's clock as the core sees it, and its rate.
+    /// The clock time of this process as the fleet core sees it, seconds, and the rate of the clock.
     fn now(&self) -> (f64, f64) {
         self.options.skewed_clock.wall_clock(self.clock.now())
     }
 
-    /// Looks at the list of nodes for duties, and reports, now and then. False once the instance is gone.
-    fn look(&mut self) -> bool {
+    /// Derives the duties from the node list every [`CHECK_INTERVAL`] and logs the counters every [`REPORT_INTERVAL`].
+    /// Returns false when the instance has been dropped.
+    fn check(&mut self) -> bool {
         let (now, _) = self.now();
-        if now - self.looked_at < LOOK {
+        if now - self.checked_at < CHECK_INTERVAL {
             return true;
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let Some(instance) = self.instance.upgrade() else { return false };
-        instance.borrow_mut().set_signal_behavior(self.options.manner.get());
-        let holders = instance.borrow().ready_nodes();
-        let probed: BTreeMap<DutyId, (BlockId, NodeId)> =
-            holders.into_iter().map(|(block, node)| (probe_of(block), (block, node))).collect();
-        if !probed.keys().eq(self.probed.keys()) {
-            let duties: Vec<DutyId> = probed.keys().copied().collect();
+        instance.borrow_mut().set_signal_behavior(self.options.signal_control.get());
+        let ready_nodes = instance.borrow().ready_nodes();
+        let probe_targets: BTreeMap<DutyId, (BlockId, NodeId)> =
+            ready_nodes.into_iter().map(|(block, node)| (probe_duty(block), (block, node))).collect();
+        if !probe_targets.keys().eq(self.probe_targets.keys()) {
+            let duties: Vec<DutyId> = probe_targets.keys().copied().collect();
             self.core.set_duties(now, &duties);
         }
-        self.probed = probed;
-        let listed: Vec<&NodeId> = self.probed.values().map(|(_, node)| node).collect();
+        self.probe_targets = probe_targets;
+        let listed: Vec<&NodeId> = self.probe_targets.values().map(|(_, node)| node).collect();
         self.spare.retain(|node, _| listed.contains(&node));
-        for (duty, (block, node)) in &self.probed {
+        for (duty, (block, node)) in &self.probe_targets {
             let Some((ago, by, good)) = self.core.last_result(now, *duty) else { continue };
-            if self.good.insert(*duty, good).is_some_and(|before| before != good) {
-                info!(block = block.0, node = %node.0, good, by = by.0, ago, "probe");
+            if self.last_good.insert(*duty, good).is_some_and(|before| before != good) {
+                info!(block = block.0, node = %node.0, good, by = by.0, ago, "the result of a probe has changed");
             }
         }
-        if now - self.reported_at > REPORT {
+        if now - self.reported_at > REPORT_INTERVAL {
             self.reported_at = now;
             let counts = serde_json::to_string(self.counts()).unwrap_or_default();
             info!(counts, live = self.core.live_members().len(), standing = ?self.core.standing(), "fleet");
@@ -280,21 +296,24 @@
         true
     }
 
-    fn turn(&mut self, act: impl FnOnce(&mut dyn FleetCore, f64, &mut Vec<Action>)) {
-        let before = self.core.next_tick_at();
-        let mut out = Vec::new();
+    /// Calls the fleet core and carries out the actions that it requests.
+    fn with_core(&mut self, call: impl FnOnce(&mut dyn FleetCore, f64, &mut Vec<Action>)) {
+        let tick_before = self.core.next_tick_at();
+        let mut actions = Vec::new();
         let (now, _) = self.now();
-        act(self.core.as_mut(), now, &mut out);
-        for act in out {
-            match act {
+        call(self.core.as_mut(), now, &mut actions);
+        for action in actions {
+            match action {
                 Action::SendDatagram(to, bytes) => self.send(to, &bytes),
                 Action::RunDuty(duty) => self.probe(duty),
                 Action::StandingChanged(Standing::Displaced) => {
-                    warn!("another process has this one's number in the fleet and started later; kept out from now on");
+                    warn!("another process that started later has the member number of this one; this process stays out of the fleet from now on");
+                }
+                Action::StandingChanged(standing) => {
+                    info!(?standing, "the standing in the fleet has changed")
                 }
-                Action::StandingChanged(standing) => info!(?standing, "fleet"),
                 Action::MemberStatusChanged(member, status) => {
-                    info!(member = member.0, ?status, "fleet");
+                    info!(member = member.0, ?status, "the status of a fleet member has changed");
                     let instance = self.instance.upgrade();
                     let dead = matches!(status, Status::Dead | Status::Left);
                     instance
@@ -303,40 +322,42 @@
                 }
                 Action::SignalReceived(from, bytes) => {
                     let instance = self.instance.upgrade();
-                    instance
-                        .iter()
-                        .for_each(|one| run_turn(one, |this| this.signal_received(from, bytes.clone())));
+                    instance.iter().for_each(|instance| {
+                        run_turn(instance, |this| this.signal_received(from, bytes.clone()))
+                    });
                 }
             }
         }
-        if self.core.next_tick_at() < before {
-            self.wake.notify();
+        if self.core.next_tick_at() < tick_before {
+            self.tick_changed.notify();
         }
     }
 
-    /// A datagram that the kernel does not take is one that is lost.
+    /// Sends a datagram. If the kernel does not take it, it is lost.
     fn send(&self, to: MemberId, bytes: &[u8]) {
         let Some(address) = self.options.addresses.get(&to) else { return };
         if let Err(error) = self.options.socket.send_to(bytes, address) {
-            debug!(member = to.0, %error, "a datagram is lost");
+            debug!(member = to.0, %error, "sending a datagram failed; it is lost");
         }
     }
 
+    /// Starts a probe and reports its result to the fleet core.
     fn probe(&mut self, duty: DutyId) {
-        let (Some((_, node)), Some(executor)) = (self.probed.get(&duty).cloned(), self.executor.upgrade())
+        let (Some((_, node)), Some(executor)) =
+            (self.probe_targets.get(&duty).cloned(), self.executor.upgrade())
         else {
             return;
         };
-        let (kept, me) = (self.spare.remove(&node), self.me.clone());
-        let (name, patience) = (self.options.name.clone(), self.options.probe_timeout);
+        let (spare, weak_self) = (self.spare.remove(&node), self.weak_self.clone());
+        let (name, timeout) = (self.options.name.clone(), self.options.probe_timeout);
         let probe = async move {
-            let found = with_timeout(patience, look_at(kept, &node, &name)).await;
-            let Some(fleet) = me.upgrade() else { return };
+            let result = with_timeout(timeout, read_health(spare, &node, &name)).await;
+            let Some(fleet) = weak_self.upgrade() else { return };
             let mut this = fleet.borrow_mut();
-            let good = found.as_ref().is_ok_and(|(_, good)| *good);
-            match found {
+            let good = result.as_ref().is_ok_and(|(_, good)| *good);
+            match result {
                 Ok((queue, _)) => drop(this.spare.insert(node, queue)),
-                Err(error) => debug!(node = %node.0, %error, "probe"),
+                Err(error) => debug!(node = %node.0, %error, "probe failed"),
             }
             let (now, _) = this.now();
             this.core.duty_done(now, duty, good);
@@ -344,31 +365,35 @@
         spawn(&executor, TaskKind::Fleet, Peer::None, probe);
     }
 
-    /// Leaves in order: says so to others, at once.
+    /// Leaves the fleet and informs the other members at once.
     pub fn leave(&mut self) {
-        self.turn(|core, now, out| core.leave(now, out));
+        self.with_core(|core, now, actions| core.leave(now, actions));
     }
 
+    /// Counters of the fleet core.
     pub fn counts(&self) -> &Counts {
         self.core.counts()
     }
 }
 
-/// Reads a node's access states: on the connection that is kept, or on a new one where that is of no more use.
-async fn look_at(kept: Option<Queue>, node: &NodeId, name: &str) -> io::Result<(Queue, bool)> {
-    if let Some(mut queue) = kept {
-        if let Ok(good) = healthy(&mut queue).await {
+/// Reads the access states of a node, on the spare connection or, if that fails, on a new one. Returns the connection for
+/// reuse, and whether the node answered with success.
+async fn read_health(spare: Option<Queue>, node: &NodeId, name: &str) -> io::Result<(Queue, bool)> {
+    if let Some(mut queue) = spare {
+        if let Ok(good) = is_healthy(&mut queue).await {
             return Ok((queue, good));
         }
     }
-    let address: SocketAddr = node.0.parse().map_err(|_| io::Error::other("not an address"))?;
+    let address: SocketAddr =
+        node.0.parse().map_err(|_| io::Error::other("the node's name is not an address and port"))?;
     let subsystem = format!("nqn.2026-12.example.quaypath:node:{address}");
     let (mut queue, _) = open_admin_queue(address, &subsystem, name, Offer::default(), 0, false).await?;
-    let good = healthy(&mut queue).await?;
+    let good = is_healthy(&mut queue).await?;
     Ok((queue, good))
 }
 
-async fn healthy(queue: &mut Queue) -> io::Result<bool> {
+/// Whether the node answers a read of its access states with success.
+async fn is_healthy(queue: &mut Queue) -> io::Result<bool> {
     let (cqe, _) =
         submit_and_wait(queue, get_log(log::ANA, 0, 16, true), Vec::new(), 16, &mut Vec::new()).await?;
     Ok(cqe.status == 0)
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -208,7 +208,7 @@
     Ok(fleet::Options {
         socket: Rc::new(socket),
         addresses,
-        figures: FleetConfig {
+        config: FleetConfig {
             own_id: MemberId(number),
             fleet: message::fleet_hash(&talk.name),
             members: talk.member.iter().map(entry).collect(),
@@ -225,7 +225,7 @@
         baseline: arguments.careless,
         skewed_clock: SkewedClock::default(),
         signals: signal_config(arguments, talk, seed),
-        manner: SignalControl::default(),
+        signal_control: SignalControl::default(),
     })
 }
 
@@ -279,7 +279,7 @@
     let skewed_clock =
         options.fleet.as_ref().map_or_else(SkewedClock::default, |fleet| fleet.skewed_clock.clone());
     let signal_control =
-        options.fleet.as_ref().map_or_else(SignalControl::default, |fleet| fleet.manner.clone());
+        options.fleet.as_ref().map_or_else(SignalControl::default, |fleet| fleet.signal_control.clone());
     let mut term_signals = match &options.fleet {
         Some(_) => Some(Signals::new([Signal::Term]).map_err(|error| format!("SIGTERM: {error}"))?),
         None => None,
