--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -64,7 +64,7 @@
 /// Event for the core. Events are passed on in the order in which they occurred.
 enum CoreEvent {
     /// A node list was received or could not be fetched.
-    NodeList(ListScope, Vec<ListedNode>),
+    NodeList(ListKind, Vec<ListedNode>),
     /// Transaction.
     TransactionReceived(u64),
     /// Transaction, shot, what ended the shot, and the load report of the node's answer.
@@ -323,7 +323,7 @@
             deployment,
             core,
             actions,
-            core_events: VecDeque::from([CoreEvent::NodeList(ListScope::Cached, listed)]),
+            core_events: VecDeque::from([CoreEvent::NodeList(ListKind::Cached, listed)]),
             clock,
             now,
             heartbeat_at: now,
@@ -651,7 +651,7 @@
             entries = listed.len(),
             "received a node list from the register"
         );
-        self.core_events.push_back(CoreEvent::NodeList(ListScope::Whole, listed));
+        self.core_events.push_back(CoreEvent::NodeList(ListKind::Complete, listed));
     }
 
     /// The ready node of each block, according to the current node list.
@@ -660,7 +660,7 @@
             .node_list
             .listed()
             .into_iter()
-            .filter(|(_, _, condition, ..)| *condition == Condition::Ready);
+            .filter(|(_, _, condition, ..)| *condition == NodeCondition::Ready);
         ready.map(|(node, block, ..)| (block, node)).collect()
     }
 
@@ -668,17 +668,17 @@
     /// be pending.
     pub fn register_call_failed(&mut self) {
         if self.deployment.register.mode == Mode::Asked {
-            self.core_events.push_back(CoreEvent::NodeList(ListScope::Failed, Vec::new()));
+            self.core_events.push_back(CoreEvent::NodeList(ListKind::FetchFailed, Vec::new()));
         }
     }
 
     /// Stops sending to nodes that are draining or removed: shots that wait in queues of this gateway end at once, and
     /// connections whose bytes are still in the kernel at the end of the drain grace are reset.
-    fn fence_unavailable_nodes(&mut self, listed: &[ListedNode], scope: ListScope) {
+    fn fence_unavailable_nodes(&mut self, listed: &[ListedNode], scope: ListKind) {
         let mut unavailable: Vec<NodeId> = Vec::new();
         for (node, _, condition, started, _) in listed {
             match condition {
-                Condition::Ready => {
+                NodeCondition::Ready => {
                     let Some(state) = self.nodes.get_mut(node) else { continue };
                     state.unavailable_since = None;
                     let restarted = state.started.replace(*started).is_some_and(|before| before != *started);
@@ -690,7 +690,7 @@
                 _ => unavailable.push(node.clone()),
             }
         }
-        if matches!(scope, ListScope::Whole) {
+        if matches!(scope, ListKind::Complete) {
             let is_listed = |node: &NodeId| listed.iter().any(|(listed, ..)| listed == node);
             unavailable.extend(self.nodes.keys().filter(|node| !is_listed(node)).cloned());
         }
@@ -879,7 +879,7 @@
             client.requested_bytes + read_bytes + client.machine.out.len() > MAX_HELD_BYTES;
         if exceeds_held_bytes || self.transactions.len() >= deployment.listen.open {
             self.counts.turned_away += 1;
-            let retry_after_ms = (deployment.core.longest_return * 1e3) as u32;
+            let retry_after_ms = (deployment.core.max_retry_after * 1e3) as u32;
             return self.respond(
                 connection,
                 sqe.cid,
--- a/crates/initiator/src/node_list.rs
+++ b/crates/initiator/src/node_list.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::Path;
 
-use quaypath::types::{BlockId, Condition, NodeId};
+use quaypath::types::{BlockId, NodeCondition, NodeId};
 use serde::{Deserialize, Serialize};
 
 /// Limit of the nodes in one list.
@@ -26,7 +26,7 @@
     pub zone: String,
     /// Number of the block (the part of the data) that the node holds.
     pub block: i64,
-    pub condition: Condition,
+    pub condition: NodeCondition,
     /// Time since the node last started, seconds; none when it started long ago. It is an age, because the clocks of two
     /// machines differ.
     pub age: Option<f64>,
@@ -43,7 +43,7 @@
 }
 
 /// An entry in the form of the core. The register does not report node sizes, so the size is 0.
-pub type ListedNode = quaypath::types::Listed;
+pub type ListedNode = quaypath::types::ListedNode;
 
 /// A node as it is stored on disk, in JSON.
 #[derive(Debug, Serialize, Deserialize)]
@@ -102,15 +102,15 @@
             let row = Row {
                 node: entry.node.clone(),
                 block: entry.block,
-                ready: condition == Condition::Ready,
+                ready: condition == NodeCondition::Ready,
                 started,
                 start: entry.start,
             };
             listed.push((NodeId(row.node.as_str().into()), BlockId(row.block), condition, started, 0.0));
             match (position, condition) {
-                (Some(position), Condition::Gone) => drop(self.rows.remove(position)),
+                (Some(position), NodeCondition::Removed) => drop(self.rows.remove(position)),
                 (Some(position), _) => self.rows[position] = row,
-                (None, Condition::Gone) => {}
+                (None, NodeCondition::Removed) => {}
                 (None, _) => self.rows.push(row),
             }
         }
@@ -120,7 +120,7 @@
 
 impl Row {
     fn listed(&self) -> ListedNode {
-        let condition = if self.ready { Condition::Ready } else { Condition::Draining };
+        let condition = if self.ready { NodeCondition::Ready } else { NodeCondition::Draining };
         (NodeId(self.node.as_str().into()), BlockId(self.block), condition, self.started, 0.0)
     }
 }
@@ -129,7 +129,7 @@
 mod tests {
     use super::*;
 
-    fn entry(node: &str, condition: Condition, age: f64, start: u64) -> NodeEntry {
+    fn entry(node: &str, condition: NodeCondition, age: f64, start: u64) -> NodeEntry {
         let (node, zone) = (node.into(), "a".into());
         NodeEntry { node, zone, block: 1, condition, age: Some(age), start }
     }
@@ -143,9 +143,9 @@
     #[test]
     fn the_same_start_keeps_its_time_and_a_new_start_gets_a_new_time() {
         let mut list = NodeList::default();
-        let first = list.update(100.0, &snapshot(vec![entry("n", Condition::Ready, 5.0, 1)]));
-        let repeated = list.update(110.0, &snapshot(vec![entry("n", Condition::Ready, 15.3, 1)]));
-        let new = list.update(120.0, &snapshot(vec![entry("n", Condition::Ready, 0.5, 2)]));
+        let first = list.update(100.0, &snapshot(vec![entry("n", NodeCondition::Ready, 5.0, 1)]));
+        let repeated = list.update(110.0, &snapshot(vec![entry("n", NodeCondition::Ready, 15.3, 1)]));
+        let new = list.update(120.0, &snapshot(vec![entry("n", NodeCondition::Ready, 0.5, 2)]));
         assert_eq!((first[0].3, repeated[0].3, new[0].3), (95.0, 95.0, 119.5));
     }
 
@@ -155,9 +155,10 @@
     fn the_stored_list_equals_the_list_in_memory_and_a_truncated_file_is_empty() {
         let path = std::env::temp_dir().join(format!("quaypath-list-{}", std::process::id()));
         let mut list = NodeList::default();
-        let entries = vec![entry("n", Condition::Ready, 5.0, 1), entry("m", Condition::Draining, 1.0, 1)];
+        let entries =
+            vec![entry("n", NodeCondition::Ready, 5.0, 1), entry("m", NodeCondition::Draining, 1.0, 1)];
         list.update(50.0, &snapshot(entries.clone()));
-        list.update(51.0, &snapshot([entries, vec![entry("gone", Condition::Gone, 1.0, 1)]].concat()));
+        list.update(51.0, &snapshot([entries, vec![entry("gone", NodeCondition::Removed, 1.0, 1)]].concat()));
         assert_eq!(list.listed().len(), 2);
         quaypath_record::background::replace(&path, &list.bytes()).unwrap();
         assert_eq!(NodeList::load(&path).0.listed(), list.listed());
