--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -1,4 +1,5 @@
-//! The seam to whatever decides: the core itself, or the careless baseline that it is measured against.
+//! The interface between a gateway and what decides for it: the decision core, or the baseline that the core is compared
+//! with.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,18 +10,28 @@
 
 use crate::node_list::{ListedNode, RegisterCall};
 
-/// What the core asked for in one call; and what it saw of nodes, where somebody wants to know.
+/// Actions that the core requested during a call and, if they are recorded, its latency observations: block and latency
+/// divided by the due time.
 #[derive(Default)]
 pub struct Actions(pub VecDeque<Action>, pub Option<Vec<(BlockId, f64)>>);
 
+/// An action that the core requests.
 pub enum Action {
+    /// Sends a shot: transaction, clock time at which it stops, seconds, and node.
     Send(u64, f64, NodeId),
+    /// Cancels a shot: transaction and shot number.
     Cancel(u64, u32),
+    /// Declines a transaction: transaction and the time after which the client may retry, seconds.
     Decline(u64, f64),
+    /// Scraps a transaction.
     Scrap(u64),
+    /// Sets a timer of the core: delay, seconds, and the tag to pass back.
     Timer(f64, u64),
+    /// Calls the register.
     RegisterCall(RegisterCall),
+    /// Closes the connections to a node if they are idle.
     Close(NodeId),
+    /// An action that this gateway does not support, by name.
     Unsupported(&'static str),
 }
 
@@ -31,8 +42,8 @@
     fn cancel(&mut self, transaction: TransactionId, shot: u32) {
         self.0.push_back(Action::Cancel(transaction.0, shot));
     }
-    fn decline(&mut self, transaction: TransactionId, come_back: f64) {
-        self.0.push_back(Action::Decline(transaction.0, come_back));
+    fn decline(&mut self, transaction: TransactionId, retry_after: f64) {
+        self.0.push_back(Action::Decline(transaction.0, retry_after));
     }
     fn scrap(&mut self, transaction: TransactionId) {
         self.0.push_back(Action::Scrap(transaction.0));
@@ -55,60 +66,60 @@
     fn send_to_peer(&mut self, _initiator: Option<u64>, _payload: &[u8]) {
         self.0.push_back(Action::Unsupported("tell"));
     }
-    fn latency_observed(&mut self, block: BlockId, stay: f64) {
-        self.1.iter_mut().for_each(|seen| seen.push((block, stay)));
+    fn latency_observed(&mut self, block: BlockId, latency_ratio: f64) {
+        self.1.iter_mut().for_each(|observations| observations.push((block, latency_ratio)));
     }
     fn log(&mut self, text: &str) {
         info!(target: "core", "{text}");
     }
 }
 
-/// The events of the core, one method each; shapes and units are those of [`Scheduler`].
+/// The events that a gateway passes to what decides. Parameters and units are those of [`Scheduler`].
 pub trait Core {
-    fn list_known(&mut self, now: f64, scope: ListKind, entries: &[ListedNode], out: &mut Actions);
-    #[allow(clippy::too_many_arguments)] // events come as plain arguments, as in the core
-    fn taken(
+    fn node_list_received(&mut self, now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions);
+    #[allow(clippy::too_many_arguments)] // the same parameters as in `Scheduler`
+    fn transaction_received(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
         out: &mut Actions,
     );
     #[allow(clippy::too_many_arguments)]
-    fn returned(
+    fn shot_completed(
         &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, used: f64, delay: f64, last: bool,
         outcome: Outcome, others: f64, report: &[f64], out: &mut Actions,
     );
-    fn lapsed(&mut self, now: f64, id: TransactionId, out: &mut Actions);
-    fn rang(&mut self, now: f64, tag: u64, out: &mut Actions);
-    /// Volumes and ordered keys held.
-    fn accounts(&self) -> (usize, usize);
-    /// Accounts that are shared with other initiators; none where the core knows of none.
-    fn needs(&mut self, _now: f64) -> Vec<LimitBalance> {
+    fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut Actions);
+    fn timer_fired(&mut self, now: f64, tag: u64, out: &mut Actions);
+    /// Numbers of volumes and of ordering keys that are tracked.
+    fn tracked_counts(&self) -> (usize, usize);
+    /// Limits whose units may be lent and borrowed between initiators; empty when there are none.
+    fn limit_balances(&mut self, _now: f64) -> Vec<LimitBalance> {
         Vec::new()
     }
-    /// What other initiators had to say; whether units were there to move.
-    fn shared(&mut self, _now: f64, _shared: PeerReport, _out: &mut Actions) -> bool {
+    /// Handles a report of another initiator. Returns whether the units that it moves were available.
+    fn peer_report_received(&mut self, _now: f64, _report: PeerReport, _out: &mut Actions) -> bool {
         false
     }
 }
 
-/// Makes what decides: clock time, seed, deployment, and where its first actions go.
+/// Creates what decides, from the clock time (seconds), the seed, the deployment, and a receiver of its first actions.
 pub type CoreFactory = fn(f64, u64, &Deployment, &mut Actions) -> Box<dyn Core>;
 
-/// The decision core.
+/// Creates the decision core with the settings of a deployment.
 pub fn scheduler(now: f64, seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
     scheduler_with_settings(now, seed, deployment.core.clone(), out)
 }
 
-/// The decision core where its settings come from elsewhere than a deployment file.
+/// Creates the decision core with settings that do not come from a deployment file.
 pub fn scheduler_with_settings(now: f64, seed: u64, settings: Settings, out: &mut Actions) -> Box<dyn Core> {
     Box::new(Scheduler::start(now, seed, settings, out))
 }
 
 impl Core for Scheduler {
-    fn list_known(&mut self, now: f64, scope: ListKind, entries: &[ListedNode], out: &mut Actions) {
-        Scheduler::node_list_received(self, now, scope, entries, out);
+    fn node_list_received(&mut self, now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions) {
+        Scheduler::node_list_received(self, now, kind, entries, out);
     }
-    fn taken(
+    fn transaction_received(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
         out: &mut Actions,
@@ -117,61 +128,65 @@
             self, now, id, initiators, plan, band, extent, budget, units, volume, block, out,
         );
     }
-    fn returned(
+    fn shot_completed(
         &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, used: f64, delay: f64, last: bool,
         outcome: Outcome, others: f64, report: &[f64], out: &mut Actions,
     ) {
         Scheduler::shot_completed(self, now, id, node, shot, used, delay, last, outcome, others, report, out);
     }
-    fn lapsed(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
+    fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
         Scheduler::client_cancelled(self, now, id, out);
     }
-    fn rang(&mut self, now: f64, tag: u64, out: &mut Actions) {
+    fn timer_fired(&mut self, now: f64, tag: u64, out: &mut Actions) {
         Scheduler::timer_fired(self, now, tag, out);
     }
-    fn accounts(&self) -> (usize, usize) {
+    fn tracked_counts(&self) -> (usize, usize) {
         Scheduler::tracked_counts(self)
     }
-    fn needs(&mut self, now: f64) -> Vec<LimitBalance> {
+    fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
         Scheduler::limit_balances(self, now)
     }
-    fn shared(&mut self, now: f64, shared: PeerReport, out: &mut Actions) -> bool {
-        Scheduler::peer_report_received(self, now, shared, out)
+    fn peer_report_received(&mut self, now: f64, report: PeerReport, out: &mut Actions) -> bool {
+        Scheduler::peer_report_received(self, now, report, out)
     }
 }
 
-/// A plain gateway: sends at once to whatever node was last heard of for the data, and tries everything again
-/// whatever became of it. Only there to be measured against; it keeps none of the rules on purpose.
+/// A baseline that deliberately keeps none of the gateway's rules; it exists only for comparison. It sends each
+/// transaction at once to the node that was last listed as ready for its block, and retries after every failure.
 struct Baseline {
     nodes: BTreeMap<BlockId, NodeId>,
-    most_shots: u32,
-    due: Vec<f64>,
-    must_ask: bool,
+    /// Limit of the shots of one transaction.
+    max_shots: u32,
+    /// Due time of each band, seconds.
+    due_times: Vec<f64>,
+    must_subscribe: bool,
+    /// Block, band and number of shots of each open transaction.
     open: BTreeMap<TransactionId, (BlockId, usize, u32)>,
 }
 
+/// Creates the baseline.
 pub fn baseline(_now: f64, _seed: u64, deployment: &Deployment, out: &mut Actions) -> Box<dyn Core> {
-    let set = &deployment.core;
-    if set.must_subscribe {
+    let settings = &deployment.core;
+    if settings.must_subscribe {
         out.subscribe(true);
     }
     Box::new(Baseline {
         nodes: BTreeMap::new(),
-        most_shots: set.max_shots,
-        due: set.bands.iter().map(|band| band.due).collect(),
-        must_ask: set.must_subscribe,
+        max_shots: settings.max_shots,
+        due_times: settings.bands.iter().map(|band| band.due).collect(),
+        must_subscribe: settings.must_subscribe,
         open: BTreeMap::new(),
     })
 }
 
 impl Baseline {
-    fn shot(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
+    fn send_shot(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
         let Some((block, band, shots)) = self.open.get_mut(&id) else { return };
-        let node = self.nodes.get(block).filter(|_| *shots < self.most_shots);
+        let node = self.nodes.get(block).filter(|_| *shots < self.max_shots);
         match node {
             Some(node) => {
                 *shots += 1;
-                out.send(id, now + self.due[*band], node);
+                out.send(id, now + self.due_times[*band], node);
             }
             None => {
                 self.open.remove(&id);
@@ -182,8 +197,8 @@
 }
 
 impl Core for Baseline {
-    fn list_known(&mut self, _now: f64, scope: ListKind, entries: &[ListedNode], out: &mut Actions) {
-        if scope == ListKind::FetchFailed && self.must_ask {
+    fn node_list_received(&mut self, _now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions) {
+        if kind == ListKind::FetchFailed && self.must_subscribe {
             out.set_timer(1.0, 0);
         }
         for (node, block, condition, ..) in entries {
@@ -192,31 +207,31 @@
             }
         }
     }
-    fn taken(
+    fn transaction_received(
         &mut self, now: f64, id: TransactionId, _initiators: f64, _plan: Option<PlanId>, band: BandId,
         _extent: Option<ExtentId>, _budget: f64, _units: f64, _volume: VolumeId, block: Option<BlockId>,
         out: &mut Actions,
     ) {
         self.open.insert(id, (block.unwrap_or_default(), band.0, 0));
-        self.shot(now, id, out);
+        self.send_shot(now, id, out);
     }
-    fn returned(
+    fn shot_completed(
         &mut self, now: f64, id: TransactionId, _node: &NodeId, _shot: u32, _used: f64, _delay: f64,
         last: bool, outcome: Outcome, _others: f64, _report: &[f64], out: &mut Actions,
     ) {
         if last || outcome == Outcome::Settled {
             self.open.remove(&id);
         } else {
-            self.shot(now, id, out);
+            self.send_shot(now, id, out);
         }
     }
-    fn lapsed(&mut self, _now: f64, id: TransactionId, _out: &mut Actions) {
+    fn client_cancelled(&mut self, _now: f64, id: TransactionId, _out: &mut Actions) {
         self.open.remove(&id);
     }
-    fn rang(&mut self, _now: f64, _tag: u64, out: &mut Actions) {
+    fn timer_fired(&mut self, _now: f64, _tag: u64, out: &mut Actions) {
         out.subscribe(true);
     }
-    fn accounts(&self) -> (usize, usize) {
+    fn tracked_counts(&self) -> (usize, usize) {
         (0, 0)
     }
 }
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -382,7 +382,7 @@
         let call_started = Instant::now();
         match event {
             CoreEvent::NodeList(scope, listed) => {
-                self.core.list_known(now, scope, &listed, out);
+                self.core.node_list_received(now, scope, &listed, out);
                 self.counts.core_seconds += call_started.elapsed().as_secs_f64();
                 self.fence_unavailable_nodes(&listed, scope);
                 return;
@@ -392,7 +392,7 @@
                 let plan = self.deployment.volumes[&transaction.volume].plan;
                 let extent = ExtentId(Arc::from(format!("{}:{}", transaction.volume, transaction.extent)));
                 let volume = VolumeId(Arc::from(transaction.volume.to_string()));
-                self.core.taken(
+                self.core.transaction_received(
                     now,
                     TransactionId(id),
                     transaction.initiators,
@@ -413,7 +413,7 @@
                 let is_answered = transaction.client.is_none();
                 let (used, others) = (f64::from(report.used), f64::from(report.others));
                 let (delay, last) = (now - shot.sent_at, is_answered || outcome == Outcome::Settled);
-                self.core.returned(
+                self.core.shot_completed(
                     now,
                     TransactionId(id),
                     &shot.node,
@@ -435,8 +435,8 @@
                 peer_signals
                     .for_each(|signals| signals.signal_received(now, from, &bytes, self.core.as_mut(), out));
             }
-            CoreEvent::ClientCancelled(id) => self.core.lapsed(now, TransactionId(id), out),
-            CoreEvent::TimerFired(tag) => self.core.rang(now, tag, out),
+            CoreEvent::ClientCancelled(id) => self.core.client_cancelled(now, TransactionId(id), out),
+            CoreEvent::TimerFired(tag) => self.core.timer_fired(now, tag, out),
         }
         self.counts.core_seconds += call_started.elapsed().as_secs_f64();
     }
@@ -601,7 +601,7 @@
     pub fn current_counts(&mut self) -> Counts {
         (self.counts.open, self.counts.connections) =
             (self.transactions.len(), self.clients.len() + self.node_connections.len());
-        (self.counts.volumes, self.counts.keys) = self.core.accounts();
+        (self.counts.volumes, self.counts.keys) = self.core.tracked_counts();
         self.counts.superseded = self.list_file.superseded();
         self.counts.polls = take_summary();
         self.counts.signals = self.peer_signals.as_ref().map(|peer_signals| peer_signals.signals.counts());
--- a/crates/initiator/src/peer_signals.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -67,10 +67,10 @@
 
 impl Ledger for CoreLedger<'_> {
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
-        self.core.needs(now)
+        self.core.limit_balances(now)
     }
     fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
-        self.core.shared(now, PeerReport::Units(account, units, until), self.actions)
+        self.core.peer_report_received(now, PeerReport::Units(account, units, until), self.actions)
     }
 }
 
@@ -82,6 +82,10 @@
     }
     fn node_report_received(&mut self, now: f64, report: &NodeReport) {
         let NodeReport { block, latency_ratio, answers, age } = *report;
-        self.core.shared(now, PeerReport::Latency(block, latency_ratio, answers, age), self.actions);
+        self.core.peer_report_received(
+            now,
+            PeerReport::Latency(block, latency_ratio, answers, age),
+            self.actions,
+        );
     }
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -406,10 +406,10 @@
     fn feed(&mut self, event: Happened) {
         let (now, out) = (self.now, &mut self.actions);
         match event {
-            Happened::List(scope, entries) => self.core.list_known(now, scope, &entries, out),
+            Happened::List(scope, entries) => self.core.node_list_received(now, scope, &entries, out),
             Happened::Taken(id) => {
                 let Some(t) = self.open.get(&id) else { return };
-                self.core.taken(
+                self.core.transaction_received(
                     now,
                     TransactionId(id),
                     t.initiators,
@@ -432,7 +432,7 @@
                 let (id, delay) = (TransactionId(id), now - shot.sent_at);
                 let node = &shot.node;
                 let report = &told.report;
-                self.core.returned(
+                self.core.shot_completed(
                     now,
                     id,
                     node,
@@ -449,8 +449,8 @@
                     self.forget(id.0);
                 }
             }
-            Happened::Lapsed(id) => self.core.lapsed(now, TransactionId(id), out),
-            Happened::Rang(tag) => self.core.rang(now, tag, out),
+            Happened::Lapsed(id) => self.core.client_cancelled(now, TransactionId(id), out),
+            Happened::Rang(tag) => self.core.timer_fired(now, tag, out),
         }
     }
 
@@ -809,7 +809,7 @@
     pub fn counted(&mut self) -> Counts {
         (self.counts.open, self.counts.clients) = (self.open.len(), self.clients.len());
         self.counts.node_connections = self.upstream_connections.get();
-        (self.counts.volumes, self.counts.keys) = self.core.accounts();
+        (self.counts.volumes, self.counts.keys) = self.core.tracked_counts();
         self.counts.descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages = pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0);
