--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -1,5 +1,5 @@
-//! The interface between a gateway and what decides for it: the decision core, or the baseline that the core is compared
-//! with.
+//! The interface between a gateway and what decides for it: the decision core, or the baseline that the core is
+//! compared with.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/initiator/src/event_loop.rs
+++ b/crates/initiator/src/event_loop.rs
@@ -148,9 +148,9 @@
     Ok(usize::try_from(count).unwrap_or(usize::MAX))
 }
 
-/// Waits for bytes and passes at most `max_bytes` of them to `take`. Before each read, the task yields if its poll has used up
-/// its time budget: a peer that sends without end never makes a read wait, so neither other tasks nor the timeout of
-/// the caller would otherwise run.
+/// Waits for bytes and passes at most `max_bytes` of them to `take`. Before each read, the task yields if its poll
+/// has used up its time budget: a peer that sends without end never makes a read wait, so neither other tasks nor the
+/// timeout of the caller would otherwise run.
 pub async fn read_some<R>(
     stream: &Async<TcpStream>, max_bytes: usize, mut take: impl FnMut(&[u8]) -> R,
 ) -> io::Result<Received<R>> {
--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -1,11 +1,12 @@
 //! The driver of a fleet core: datagrams, its timer, and the duties that it assigns. [`quaypath_fleet`] makes all
 //! decisions.
 //!
-//! The only duty so far is the probe of the node that holds a block: its ANA access states are read on the admin queue of
-//! an association, which is kept open as a spare connection for as long as this member has the duty.
+//! The only duty so far is the probe of the node that holds a block: its ANA access states are read on the admin
+//! queue of an association, which is kept open as a spare connection for as long as this member has the duty.
 //!
-//! Bounds: datagrams have at most [`MAX_DATAGRAM_BYTES`] bytes, and [`DATAGRAM_BATCH`] of them are read before other tasks
-//! run. Probes end with the connect timeout. Spare associations are kept only for nodes of the current node list.
+//! Bounds: datagrams have at most [`MAX_DATAGRAM_BYTES`] bytes, and [`DATAGRAM_BATCH`] of them are read before other
+//! tasks run. Probes end with the connect timeout. Spare associations are kept only for the ready nodes of the
+//! current node list.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -38,7 +39,8 @@
 
 /// Datagrams that are read before other tasks run.
 const DATAGRAM_BATCH: usize = 32;
-/// Longest time between two checks of the node list and of the clock, whose rate may have been changed meanwhile, seconds.
+/// Longest time between two checks of the node list and of the clock, whose rate may have been changed meanwhile,
+/// seconds.
 const CHECK_INTERVAL: f64 = 0.5;
 /// Time between two log lines with the counters, seconds.
 const REPORT_INTERVAL: f64 = 10.0;
@@ -67,7 +69,8 @@
         skew.map_or((now, 1.0), |skew| (skew.shown + (now - skew.since) * skew.rate, skew.rate))
     }
 
-    /// Sets the rate from the true time `now` on, after a step forward of `step` seconds. The rate is limited to 0.1 to 10.
+    /// Sets the rate from the true time `now` on, after a step forward of `step` seconds. The rate is limited to 0.1
+    /// to 10.
     pub fn set(&self, now: f64, rate: f64, step: f64) {
         let shown = self.wall_clock(now).0 + step.max(0.0);
         let steps = shown - self.monotonic(now);
@@ -119,7 +122,7 @@
 type WeakInstance = Weak<RefCell<Instance>>;
 
 /// Driver of one fleet member.
-pub struct Fleet {
+pub struct FleetDriver {
     core: Box<dyn FleetCore>,
     options: Options,
     clock: Clock,
@@ -129,14 +132,14 @@
     /// Last result of each probe, so that only changes are logged.
     last_good: BTreeMap<DutyId, bool>,
     /// Admin queues that are kept open, by node.
-    spare: BTreeMap<NodeId, Queue>,
+    spare_queues: BTreeMap<NodeId, Queue>,
     /// Clock time of the last check of the node list, seconds.
     checked_at: f64,
     /// Clock time of the last log line with the counters, seconds.
     reported_at: f64,
     tick_changed: Rc<Notify>,
     executor: Weak<LocalExecutor<'static>>,
-    weak_self: Weak<RefCell<Fleet>>,
+    weak_self: Weak<RefCell<FleetDriver>>,
 }
 
 /// The duty of probing the node that holds a block. It is the same at all members, whichever node holds the block.
@@ -144,7 +147,7 @@
     DutyId::of(&format!("probe block {}", block.0))
 }
 
-type SharedFleet = Rc<RefCell<Fleet>>;
+type SharedFleet = Rc<RefCell<FleetDriver>>;
 
 /// Starts a fleet member on an executor.
 pub fn start(
@@ -159,14 +162,14 @@
         false => Box::new(SwimMember::start(now, wall, options.seed, config)),
     };
     options.socket.set_nonblocking(true)?;
-    let fleet = Rc::new(RefCell::new(Fleet {
+    let fleet = Rc::new(RefCell::new(FleetDriver {
         core,
         options,
         clock,
         instance: instance.clone(),
         probe_targets: BTreeMap::new(),
         last_good: BTreeMap::new(),
-        spare: BTreeMap::new(),
+        spare_queues: BTreeMap::new(),
         checked_at: f64::NEG_INFINITY,
         reported_at: now,
         tick_changed: Rc::default(),
@@ -181,7 +184,7 @@
 }
 
 /// Receives datagrams and passes them to the fleet core.
-async fn receive_datagrams(fleet: Weak<RefCell<Fleet>>) {
+async fn receive_datagrams(fleet: Weak<RefCell<FleetDriver>>) {
     let Some(socket) = fleet.upgrade().map(|fleet| fleet.borrow().options.socket.clone()) else { return };
     let Ok(readable) = Async::new_nonblocking(socket.clone()) else { return };
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
@@ -212,7 +215,7 @@
 }
 
 /// Sends the instance's signals as soon as they are ready.
-async fn send_signals(fleet: Weak<RefCell<Fleet>>, instance: WeakInstance) {
+async fn send_signals(fleet: Weak<RefCell<FleetDriver>>, instance: WeakInstance) {
     let Some(ready) = instance.upgrade().and_then(|instance| instance.borrow().outgoing_signals_ready())
     else {
         return;
@@ -228,7 +231,7 @@
 }
 
 /// Runs the fleet core's timer and the periodic checks.
-async fn run_ticks(fleet: Weak<RefCell<Fleet>>) {
+async fn run_ticks(fleet: Weak<RefCell<FleetDriver>>) {
     loop {
         let (wait, tick_changed) = {
             let Some(fleet) = fleet.upgrade() else { return };
@@ -256,7 +259,7 @@
     }
 }
 
-impl Fleet {
+impl FleetDriver {
     /// The clock time of this process as the fleet core sees it, seconds, and the rate of the clock.
     fn now(&self) -> (f64, f64) {
         self.options.skewed_clock.wall_clock(self.clock.now())
@@ -281,7 +284,7 @@
         }
         self.probe_targets = probe_targets;
         let listed: Vec<&NodeId> = self.probe_targets.values().map(|(_, node)| node).collect();
-        self.spare.retain(|node, _| listed.contains(&node));
+        self.spare_queues.retain(|node, _| listed.contains(&node));
         for (duty, (block, node)) in &self.probe_targets {
             let Some((ago, by, good)) = self.core.last_result(now, *duty) else { continue };
             if self.last_good.insert(*duty, good).is_some_and(|before| before != good) {
@@ -348,7 +351,7 @@
         else {
             return;
         };
-        let (spare, weak_self) = (self.spare.remove(&node), self.weak_self.clone());
+        let (spare, weak_self) = (self.spare_queues.remove(&node), self.weak_self.clone());
         let (name, timeout) = (self.options.name.clone(), self.options.probe_timeout);
         let probe = async move {
             let result = with_timeout(timeout, read_health(spare, &node, &name)).await;
@@ -356,7 +359,7 @@
             let mut this = fleet.borrow_mut();
             let good = result.as_ref().is_ok_and(|(_, good)| *good);
             match result {
-                Ok((queue, _)) => drop(this.spare.insert(node, queue)),
+                Ok((queue, _)) => drop(this.spare_queues.insert(node, queue)),
                 Err(error) => debug!(node = %node.0, %error, "probe failed"),
             }
             let (now, _) = this.now();
@@ -376,8 +379,8 @@
     }
 }
 
-/// Reads the access states of a node, on the spare connection or, if that fails, on a new one. Returns the connection for
-/// reuse, and whether the node answered with success.
+/// Reads the access states of a node, on the spare connection or, if that fails, on a new one. Returns the connection
+/// for reuse, and whether the node answered with success.
 async fn read_health(spare: Option<Queue>, node: &NodeId, name: &str) -> io::Result<(Queue, bool)> {
     if let Some(mut queue) = spare {
         if let Ok(good) = is_healthy(&mut queue).await {
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -1,5 +1,5 @@
-//! State of one initiator outside the core: open transactions, connections, nodes and timers. Every socket event becomes
-//! a call of the core here, and the core's actions are carried out here; this module decides nothing.
+//! State of one initiator outside the core: open transactions, connections, nodes and timers. Every socket event
+//! becomes a call of the core here, and the core's actions are carried out here; this module decides nothing.
 //!
 //! Bounds, and what happens when they are reached: client connections (a new one is closed at once), open transactions
 //! and data held for one client connection (a command is refused before the core), commands at one node (the queue
@@ -47,8 +47,8 @@
 use crate::subsystem::GatewaySubsystem;
 use crate::timer_wheel::TimerWheel;
 
-/// Limit of the data that one client connection has requested and not yet received, bytes. At the limit, its commands are
-/// refused with a retry delay.
+/// Limit of the data that one client connection has requested and not yet received, bytes. At the limit, its commands
+/// are refused with a retry delay.
 const MAX_HELD_BYTES: usize = 16 << 20;
 /// Size from which a batch for one write call takes no more commands, bytes.
 const WRITE_BATCH_BYTES: usize = 256 << 10;
@@ -366,7 +366,8 @@
         self.executor.upgrade()
     }
 
-    /// Passes the pending events to the core, then carries out the actions that it requests. Those may cause new events.
+    /// Passes the pending events to the core, then carries out the actions that it requests. Those may cause new
+    /// events.
     fn run_core(&mut self) {
         while let Some(event) = self.core_events.pop_front() {
             self.pass_to_core(event);
@@ -381,10 +382,10 @@
         let (now, out) = (self.now, &mut self.actions);
         let call_started = Instant::now();
         match event {
-            CoreEvent::NodeList(scope, listed) => {
-                self.core.node_list_received(now, scope, &listed, out);
+            CoreEvent::NodeList(kind, listed) => {
+                self.core.node_list_received(now, kind, &listed, out);
                 self.counts.core_seconds += call_started.elapsed().as_secs_f64();
-                self.fence_unavailable_nodes(&listed, scope);
+                self.fence_unavailable_nodes(&listed, kind);
                 return;
             }
             CoreEvent::TransactionReceived(id) => {
@@ -410,9 +411,9 @@
                 let Some(transaction) = self.transactions.get_mut(&id) else { return };
                 let Some(shot) = transaction.shot.take_if(|shot| shot.number == number) else { return };
                 let outcome = outcome(end, shot.progress);
-                let is_answered = transaction.client.is_none();
+                let is_finished = transaction.client.is_none();
                 let (used, others) = (f64::from(report.used), f64::from(report.others));
-                let (delay, last) = (now - shot.sent_at, is_answered || outcome == Outcome::Settled);
+                let (delay, last) = (now - shot.sent_at, is_finished || outcome == Outcome::Settled);
                 self.core.shot_completed(
                     now,
                     TransactionId(id),
@@ -426,7 +427,7 @@
                     &[report.latency * 1e3],
                     out,
                 );
-                if is_answered {
+                if is_finished {
                     self.transactions.remove(&id);
                 }
             }
@@ -674,7 +675,7 @@
 
     /// Stops sending to nodes that are draining or removed: shots that wait in queues of this gateway end at once, and
     /// connections whose bytes are still in the kernel at the end of the drain grace are reset.
-    fn fence_unavailable_nodes(&mut self, listed: &[ListedNode], scope: ListKind) {
+    fn fence_unavailable_nodes(&mut self, listed: &[ListedNode], kind: ListKind) {
         let mut unavailable: Vec<NodeId> = Vec::new();
         for (node, _, condition, started, _) in listed {
             match condition {
@@ -690,7 +691,7 @@
                 _ => unavailable.push(node.clone()),
             }
         }
-        if matches!(scope, ListKind::Complete) {
+        if matches!(kind, ListKind::Complete) {
             let is_listed = |node: &NodeId| listed.iter().any(|(listed, ..)| listed == node);
             unavailable.extend(self.nodes.keys().filter(|node| !is_listed(node)).cloned());
         }
@@ -829,8 +830,8 @@
         }
     }
 
-    /// Handles a command of a client: validates it, and queues a read, write, write zeroes or compare as a transaction for
-    /// the core.
+    /// Handles a command of a client: validates it, and queues a read, write, write zeroes or compare as a
+    /// transaction for the core.
     fn command(&mut self, connection: u64, sqe: Sqe, data: Vec<u8>) {
         let Some(client) = self.clients.get(&connection) else { return };
         let invalid_field = status::INVALID_FIELD | status::DNR;
@@ -1004,8 +1005,8 @@
 
     // Shots.
 
-    /// Sends a shot to a node on behalf of the core. It ends at the clock time `stop_at`, seconds, or at the outer limit if
-    /// that is earlier; 0 means the outer limit.
+    /// Sends a shot to a node on behalf of the core. It ends at the clock time `stop_at`, seconds, or at the outer
+    /// limit if that is earlier; 0 means the outer limit.
     fn send_shot(&mut self, id: u64, stop_at: f64, node: NodeId) {
         let Some(transaction) = self.transactions.get_mut(&id) else { return };
         let number = transaction.shot_count;
@@ -1076,7 +1077,8 @@
         ios.iter().filter_map(load).min().map_or(ios[0], |(_, _, io)| io)
     }
 
-    /// Queues a shot on a connection. If the queue is full, the association is retired and the shot waits for a new one.
+    /// Queues a shot on a connection. If the queue is full, the association is retired and the shot waits for a new
+    /// one.
     fn submit_shot(&mut self, connection: u64, id: u64, number: u32) {
         let (Some(transaction), Some(node_connection)) =
             (self.transactions.get_mut(&id), self.node_connections.get_mut(&connection))
@@ -1110,15 +1112,16 @@
             None => {
                 let node = node_connection.node.clone();
                 self.nodes.entry(node.clone()).or_default().waiting_shots.push_back((id, number));
-                // As after a restart of the node: live commands finish on the old association, new shots take a new one.
+                // As after a restart of the node: live commands finish on the old association, new shots take a new
+                // one.
                 self.handle_association_event(&node, AssociationEvent::NodeRestarted);
                 self.handle_association_event(&node, AssociationEvent::ShotRequested);
             }
         }
     }
 
-    /// Ends a shot for any reason: removes it from the queues of this gateway, asks the node to abort it if it was sent, and
-    /// queues the event for the core.
+    /// Ends a shot for any reason: removes it from the queues of this gateway, asks the node to abort it if it was
+    /// sent, and queues the event for the core.
     fn end_shot(&mut self, id: u64, number: u32, end: ShotEnd, report: Told) {
         let Some(transaction) = self.transactions.get_mut(&id) else { return };
         let Some(shot) = transaction.shot.as_mut().filter(|shot| shot.number == number) else { return };
@@ -1163,8 +1166,8 @@
         }
     }
 
-    /// Registers an association that was opened, with its admin queue first and then its I/O queues, and submits the waiting
-    /// shots. Returns the numbers of the connections.
+    /// Registers an association that was opened, with its admin queue first and then its I/O queues, and submits the
+    /// waiting shots. Returns the numbers of the connections.
     pub fn association_opened(
         &mut self, name: &NodeId, queues: Vec<(Host, Rc<Async<TcpStream>>)>,
     ) -> Vec<u64> {
@@ -1383,8 +1386,8 @@
         self.flush_output(connection);
     }
 
-    /// Writes to a node in batches. Returns true when all output is written, and false when the kernel takes no more for
-    /// now.
+    /// Writes to a node in batches. Returns true when all output is written, and false when the kernel takes no more
+    /// for now.
     fn flush_node_connection(&mut self, connection: u64) -> io::Result<bool> {
         loop {
             let node_connection = self.node_connections.get_mut(&connection).unwrap();
@@ -1449,8 +1452,8 @@
         }
     }
 
-    /// Moves commands of the batch of which no byte was written back into the queue, where they can be withdrawn: a drain
-    /// or a timeout may come before the kernel takes more bytes.
+    /// Moves commands of the batch of which no byte was written back into the queue, where they can be withdrawn: a
+    /// drain or a timeout may come before the kernel takes more bytes.
     fn requeue_unsent(&mut self, connection: u64) {
         let node_connection = self.node_connections.get_mut(&connection).unwrap();
         let Some(first_unsent) = node_connection
--- a/crates/initiator/src/node_association.rs
+++ b/crates/initiator/src/node_association.rs
@@ -200,7 +200,8 @@
         assert!(actual_effect == effect && state_matches, "{actual_effect:?} {actual_state:?}");
     }
 
-    /// Guards against endless connection attempts to a node that stays down: automatic attempts are bounded for any jitter.
+    /// Guards against endless connection attempts to a node that stays down: automatic attempts are bounded for any
+    /// jitter.
     #[test]
     fn automatic_attempts_are_bounded() {
         for seed in 0..20 {
--- a/crates/initiator/src/node_list.rs
+++ b/crates/initiator/src/node_list.rs
@@ -27,8 +27,8 @@
     /// Number of the block (the part of the data) that the node holds.
     pub block: i64,
     pub condition: NodeCondition,
-    /// Time since the node last started, seconds; none when it started long ago. It is an age, because the clocks of two
-    /// machines differ.
+    /// Time since the node last started, seconds; none when it started long ago. It is an age, because the clocks of
+    /// two machines differ.
     pub age: Option<f64>,
     /// Identifies the start of the node: it changes with every start.
     pub start: u64,
@@ -63,8 +63,8 @@
 }
 
 impl NodeList {
-    /// Loads the last list from disk; it is empty if there is no file. If the file cannot be read, the list is empty and an
-    /// error is returned beside it.
+    /// Loads the last list from disk; it is empty if there is no file. If the file cannot be read, the list is empty
+    /// and an error is returned beside it.
     pub fn load(path: &Path) -> (Self, Option<String>) {
         match std::fs::read(path) {
             Ok(bytes) => match serde_json::from_slice(&bytes) {
@@ -138,8 +138,8 @@
         ListSnapshot { revision: 1, entries }
     }
 
-    /// Guards against a start that looks like a second one because it was reported twice with different delays: the core
-    /// would discard its state of the node.
+    /// Guards against a start that looks like a second one because it was reported twice with different delays: the
+    /// core would discard its state of the node.
     #[test]
     fn the_same_start_keeps_its_time_and_a_new_start_gets_a_new_time() {
         let mut list = NodeList::default();
--- a/crates/initiator/src/peer_signals.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -30,8 +30,8 @@
         PeerSignals { signals, outgoing, outgoing_ready }
     }
 
-    /// Passes the core's observations to the signals and runs what is due. Returns the clock time, seconds, for which the
-    /// timer has to be set, if it changed.
+    /// Passes the core's observations to the signals and runs what is due. Returns the clock time, seconds, for which
+    /// the timer has to be set, if it changed.
     pub fn run_due(&mut self, now: f64, core: &mut dyn Core, actions: &mut Actions) -> Option<f64> {
         let observed = actions.1.as_mut().map(std::mem::take).unwrap_or_default();
         self.with_ledger(core, actions, |signals, ledger| signals.run_due(now, observed, ledger))
--- a/crates/initiator/src/register.rs
+++ b/crates/initiator/src/register.rs
@@ -24,8 +24,8 @@
 
 /// The well-known NVMe qualified name of the discovery subsystem.
 pub const DISCOVERY_NQN: &str = "nqn.2014-08.org.nvmexpress.discovery";
-/// First delay between connection attempts, doubled with each attempt, seconds. It applies to connections only: the core
-/// decides when the register is called.
+/// First delay between connection attempts, doubled with each attempt, seconds. It applies to connections only: the
+/// core decides when the register is called.
 const BASE_RECONNECT_DELAY: f64 = 0.1;
 /// Longest delay between connection attempts, seconds.
 const MAX_RECONNECT_DELAY: f64 = 2.0;
@@ -36,8 +36,9 @@
 /// Size of one partial read of the log, bytes; a multiple of the record size.
 const LOG_READ_BYTES: usize = 32 * 1024;
 
-/// Keeps the node list up to date until the instance is dropped. When the settings say that the register has to be asked
-/// (mode `asked`), a failed call or a lost connection is reported to the core, which decides when to call again.
+/// Keeps the node list up to date until the instance is dropped. When the settings say that the register has to be
+/// asked (mode `asked`), a failed call or a lost connection is reported to the core, which decides when to call
+/// again.
 pub async fn follow(instance: Weak<RefCell<Instance>>) {
     let mut delay = BASE_RECONNECT_DELAY;
     loop {
@@ -172,8 +173,8 @@
     }
 }
 
-/// Reads `length` bytes of a log page from offset `offset` on. With `retain_event`, a pending change event stays pending.
-/// The inner error is the status of a failed command.
+/// Reads `length` bytes of a log page from offset `offset` on. With `retain_event`, a pending change event stays
+/// pending. The inner error is the status of a failed command.
 async fn read_log_page(
     queue: &mut Queue, page: u8, offset: usize, length: usize, retain_event: bool, events: &mut Vec<Cqe>,
 ) -> io::Result<Result<Vec<u8>, u16>> {
--- a/crates/initiator/src/run.rs
+++ b/crates/initiator/src/run.rs
@@ -15,7 +15,7 @@
 
 use crate::counts::Counts;
 use crate::event_loop::run_timers;
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetDriver};
 use crate::instance::Instance;
 use crate::polls::{self, spawn, Peer, TaskKind};
 use crate::{net, register};
@@ -49,7 +49,7 @@
     spawn(&executor, TaskKind::Report, Peer::None, log_counts(weak));
     let fleet =
         options.fleet.clone().map(|options| fleet::start(options, &executor, Rc::downgrade(&instance)));
-    let fleet: Option<Rc<RefCell<Fleet>>> = fleet.transpose()?;
+    let fleet: Option<Rc<RefCell<FleetDriver>>> = fleet.transpose()?;
     async_io::block_on(polls::run(&executor, stop));
     fleet.into_iter().for_each(|fleet| fleet.borrow_mut().leave());
     let counts = instance.borrow_mut().current_counts();
--- a/crates/initiator/src/timer_wheel.rs
+++ b/crates/initiator/src/timer_wheel.rs
@@ -2,9 +2,8 @@
 //!
 //! It has six levels of 64 slots over ticks of 1/1024 s, or finer. A timer is put into the level that its distance
 //! requires and moves to lower levels as its time approaches, so the cost of setting and of firing a timer does not
-//! depend on how many timers are set.
-//! A timer fires at the first tick at or after its time, never earlier. The timers of one call fire ordered by time, and
-//! timers of the same time in the order in which they were set.
+//! depend on how many timers are set. A timer fires at the first tick at or after its time, never earlier. The timers
+//! of one call fire ordered by time, and timers of the same time in the order in which they were set.
 
 /// Slots of one level.
 const SLOTS: usize = 64;
@@ -112,8 +111,8 @@
         Some((current + 1 + u64::from(ahead)) << shift)
     }
 
-    /// Clock time, seconds, of the next call of [`TimerWheel::advance`]: no timer is due earlier. Negative infinity when a
-    /// timer is already due, none when no timer is set.
+    /// Clock time, seconds, of the next call of [`TimerWheel::advance`]: no timer is due earlier. Negative infinity
+    /// when a timer is already due, none when no timer is set.
     pub fn next_expiry(&self) -> Option<f64> {
         if !self.due.is_empty() {
             return Some(f64::NEG_INFINITY);
