--- a/crates/initiator/benches/wheel.rs
+++ b/crates/initiator/benches/wheel.rs
@@ -13,7 +13,7 @@
 }
 
 fn bench(criterion: &mut Criterion) {
-    let mut group = criterion.benchmark_group("set one, ring what is due");
+    let mut group = criterion.benchmark_group("set one timer, fire those that are due");
     for timer_count in [1_000u64, 10_000, 100_000, 1_000_000] {
         // With steps of this length, seconds, about as many timers fire as are set. The mean delay is 2.5 s.
         let step = 2.5 / timer_count as f64;
--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -1,5 +1,4 @@
-//! The interface between a gateway and what decides for it: the decision core, or the baseline that the core is
-//! compared with.
+//! The interface between a gateway and its decision core, or the baseline that the core is compared with.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -74,7 +73,7 @@
     }
 }
 
-/// The events that a gateway passes to what decides. Parameters and units are those of [`Scheduler`].
+/// The events that a gateway passes to its decision core. Parameters and units are those of [`Scheduler`].
 pub trait Core {
     fn node_list_received(&mut self, now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions);
     #[allow(clippy::too_many_arguments)] // the same parameters as in `Scheduler`
@@ -102,7 +101,8 @@
     }
 }
 
-/// Creates what decides, from the clock time (seconds), the seed, the deployment, and a receiver of its first actions.
+/// Creates a decision core from the clock time (seconds), the seed, the deployment, and a receiver of its first
+/// actions.
 pub type CoreFactory = fn(f64, u64, &Deployment, &mut Actions) -> Box<dyn Core>;
 
 /// Creates the decision core with the settings of a deployment.
@@ -152,7 +152,8 @@
 }
 
 /// A baseline that deliberately keeps none of the gateway's rules; it exists only for comparison. It sends each
-/// transaction at once to the node that was last listed as ready for its block, and retries after every failure.
+/// transaction at once to the node that was last listed as ready for its block, and retries
+/// after every failure, up to the limit of shots.
 struct Baseline {
     nodes: BTreeMap<BlockId, NodeId>,
     /// Limit of the shots of one transaction.
--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -89,7 +89,9 @@
 /// Start parameters of a fleet member.
 #[derive(Clone)]
 pub struct Options {
+    /// Bound socket of this member.
     pub socket: Rc<UdpSocket>,
+    /// Addresses of the fleet members.
     pub addresses: BTreeMap<MemberId, SocketAddr>,
     pub config: FleetConfig,
     pub seed: u64,
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -105,9 +105,12 @@
 struct OpenTransaction {
     /// Client connection and the command id there, until the final answer.
     client: Option<(u64, u16)>,
+    /// Index of the band.
     band: usize,
     volume: u32,
+    /// Number of the block (the part of the data that one node holds).
     block: i64,
+    /// Ordering key of the client, or the number of the extent when the client gives none.
     extent: u64,
     /// Number of initiators that the client reports for its volume, or that the settings give.
     initiators: f64,
@@ -116,7 +119,9 @@
     outer_limit: f64,
     /// The client's command.
     sqe: Sqe,
+    /// Marks of the command as the nodes receive them, apart from those that each shot sets.
     marks: Marks,
+    /// Data of a write or compare.
     data: Vec<u8>,
     /// Size of the data that a read returns, bytes; 0 for other commands.
     read_bytes: usize,
--- a/crates/initiator/src/outcome.rs
+++ b/crates/initiator/src/outcome.rs
@@ -72,8 +72,8 @@
         status::SUCCESS => Outcome::Settled,
         // A Compare command that ran and found a difference: this is its result, not a failure.
         status::COMPARE_FAILURE => Outcome::Settled,
-        // Quaypath targets refuse a command unprocessed with these vendor-specific codes, which no other target sends
-        // by chance.
+        // Quaypath targets use these codes for commands that they refuse unprocessed. The codes are vendor-specific,
+        // so another target does not send them by accident.
         status::FULL | status::DRAINING => Outcome::QueueFull,
         // By the Base Specification, Command Interrupted and Namespace Not Ready guarantee that nothing was done and
         // that a retry may succeed.
@@ -110,7 +110,7 @@
     #[test_case(ShotEnd::Answered(status::ABORTED_BY_REQUEST), Sent, Outcome::Cancelled; "aborted")]
     #[test_case(ShotEnd::Answered(status::INTERNAL_ERROR), Sent, Outcome::Failed; "internal error")]
     #[test_case(ShotEnd::Answered(status::INVALID_FIELD | status::DNR), Sent, Outcome::Failed; "invalid field")]
-    fn table(end: ShotEnd, progress: Progress, expected: Outcome) {
+    fn outcome_of_each_shot_end(end: ShotEnd, progress: Progress, expected: Outcome) {
         assert_eq!(outcome(end, progress), expected);
     }
 }
--- a/crates/initiator/src/polls.rs
+++ b/crates/initiator/src/polls.rs
@@ -29,7 +29,7 @@
 /// call.
 const REACTOR_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// Maximum age of the last reading of the thread's CPU time, as each reading costs a system call.
-const CPU_READING_AGE: Duration = Duration::from_millis(10);
+const MAX_CPU_READING_AGE: Duration = Duration::from_millis(10);
 /// Upper bound of the histogram, microseconds; longer polls are recorded with this duration.
 const MAX_RECORDED_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of the histogram.
@@ -39,15 +39,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskKind {
     Accept,
+    /// One attempt of a transaction at a node.
     Attempt,
     Client,
     Discovery,
+    /// Wait until a connection is writable again.
     Drain,
     Fleet,
     NodeConnection,
+    /// Periodic log lines with the counters.
     Report,
+    /// Signals of the operating system.
     Signals,
     Timers,
+    /// Refusal of a client beyond the connection limit.
     TurnAway,
 }
 
@@ -105,7 +110,7 @@
 
     fn poll_started(&self, now: Instant) {
         self.started.set(Some(now));
-        if now.duration_since(self.cpu_reading.get().0) >= CPU_READING_AGE {
+        if now.duration_since(self.cpu_reading.get().0) >= MAX_CPU_READING_AGE {
             self.cpu_reading.set((now, thread_cpu_time()));
         }
     }
@@ -121,7 +126,7 @@
         let micros = u64::try_from(duration.as_micros()).unwrap_or(MAX_RECORDED_MICROS);
         self.histogram.borrow_mut().saturating_record(micros.max(1));
         if duration >= LONG_POLL {
-            // A long poll with little CPU time means that the process was suspended, not that the task was busy.
+            // A long poll with little CPU time means that the thread was suspended, not that the task was busy.
             let cpu = thread_cpu_time().saturating_sub(self.cpu_reading.get().1);
             let (took_ms, cpu_ms) = (duration.as_millis() as u64, cpu.as_millis() as u64);
             warn!(?task, %peer, took_ms, cpu_ms, "a task kept the loop for long");
--- a/crates/initiator/src/queue.rs
+++ b/crates/initiator/src/queue.rs
@@ -88,8 +88,8 @@
     Ok((machine, Rc::new(stream)))
 }
 
-/// Submits one command on a queue with no other user and waits for its completion, with up to `expected` bytes of
-/// data. Completions of asynchronous event requests that arrive meanwhile are appended to `events`.
+/// Submits one command on a queue with no other user and waits for its completion. `expected` is the
+/// size of the data that the command returns, bytes. Completions of asynchronous event requests that arrive meanwhile are appended to `events`.
 pub async fn submit_and_wait(
     queue: &mut Queue, sqe: Sqe, data: Vec<u8>, expected: usize, events: &mut Vec<Cqe>,
 ) -> io::Result<(Cqe, Vec<u8>)> {
