--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: `BALANCER_CONFIG`, and the other variables where the file is silent.
+//! The configuration: the file that `BALANCER_CONFIG` names, and further environment variables for entries that the file
+//! does not have.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,26 +12,29 @@
 
 use crate::discovery::Listing;
 
-/// Longest configuration that is read, bytes.
-const LONGEST: u64 = 8 << 20;
+/// Longest configuration file, bytes.
+const MAX_FILE_BYTES: u64 = 8 << 20;
 
+/// The reason why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum Error {
     #[error("{path}: {source}")]
     Io { path: PathBuf, source: std::io::Error },
-    #[error("{path}: {length} bytes, {LONGEST} at most")]
-    Long { path: PathBuf, length: u64 },
-    #[error("{path}: {place}: found {found}; {rule}")]
-    Entry { path: PathBuf, place: String, found: String, rule: &'static str },
-    #[error("{path}: {what}")]
-    Setting { path: PathBuf, what: String },
+    #[error("{path}: the file has {length} bytes; at most {MAX_FILE_BYTES} are allowed")]
+    FileTooLong { path: PathBuf, length: u64 },
+    #[error("{path}: {entry}: found {found}; {expected}")]
+    Entry { path: PathBuf, entry: String, found: String, expected: &'static str },
+    #[error("{path}: {message}")]
+    Setting { path: PathBuf, message: String },
 }
 
-/// What the program has to do with.
+/// The resources that the process may use.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
+    /// Memory, megabytes (10^6 bytes).
     pub memory_mb: f64,
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
@@ -40,125 +44,148 @@
     }
 }
 
-/// The settings that are the sockets' and not the core's. Seconds.
+/// The settings that are used by the connections and the decoding of messages, and not by the core.
 #[derive(Clone, Debug)]
-pub struct Waits {
-    pub connect: f64,
-    /// A node closes a connection that stood idle for so long.
-    pub idle: f64,
+pub struct TransportSettings {
+    /// Timeout for a new connection to a node, seconds.
+    pub connect_timeout: f64,
+    /// Time after which a node closes an idle connection, seconds.
+    pub node_idle_timeout: f64,
+    /// Time during which a node may still be used after it is listed as draining, seconds.
     pub drain_grace: f64,
-    /// The longest that a client waits over all its tries, for each band.
-    pub deadlines: Vec<f64>,
-    /// Blocks of the data, counted from 0.
-    pub blocks: i64,
-    pub most_units: f64,
-    /// What a load report's values are called, in the core's order.
-    pub load: Vec<String>,
+    /// For each band the longest time that a client waits over all its tries, seconds.
+    pub band_deadlines: Vec<f64>,
+    /// Number of blocks of the data; they are numbered from 0.
+    pub block_count: i64,
+    /// Largest number of units of one transaction.
+    pub max_units: f64,
+    /// Names of the values in a node's load report, in the order in which the core takes them.
+    pub load_fields: Vec<String>,
 }
 
-impl Waits {
-    pub fn longest(&self) -> f64 {
-        self.deadlines.iter().copied().fold(0.0, f64::max)
+impl TransportSettings {
+    /// The longest deadline of all bands, seconds.
+    pub fn longest_deadline(&self) -> f64 {
+        self.band_deadlines.iter().copied().fold(0.0, f64::max)
     }
 }
 
+/// The configuration of one gateway process.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The file that the configuration was read from.
     pub path: PathBuf,
+    /// The name of this gateway.
     pub name: String,
+    /// The address on which clients connect.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
+    /// The seed of the core's random numbers.
     pub seed: u64,
     pub limits: Limits,
-    pub known: Listing,
+    /// The node list to start with, until discovery sends its own.
+    pub initial_list: Listing,
+    /// The settings of the core.
     pub core: Settings,
+    /// The names of bands and plans.
     pub names: Names,
-    pub waits: Waits,
+    pub transport: TransportSettings,
 }
 
 impl Config {
-    /// Reads the file; `variable` gives the environment's.
+    /// Reads the configuration file at `path`; `variable` returns the value of an environment variable.
     pub fn read(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Error> {
-        let io = |source| Error::Io { path: path.into(), source };
-        let length = std::fs::metadata(path).map_err(io)?.len();
-        if length > LONGEST {
-            return Err(Error::Long { path: path.into(), length });
+        let io_error = |source| Error::Io { path: path.into(), source };
+        let length = std::fs::metadata(path).map_err(io_error)?.len();
+        if length > MAX_FILE_BYTES {
+            return Err(Error::FileTooLong { path: path.into(), length });
         }
-        let text = std::fs::read(path).map_err(io)?;
-        let entry = |place: &str, found: String, rule| Error::Entry {
+        let text = std::fs::read(path).map_err(io_error)?;
+        let entry_error = |entry: &str, found: String, expected| Error::Entry {
             path: path.into(),
-            place: place.to_string(),
+            entry: entry.to_string(),
             found,
-            rule,
+            expected,
         };
         let root: Value = serde_json::from_slice(&text)
-            .map_err(|error| entry("the file", error.to_string(), "JSON is wanted"))?;
-        let word = |field: &str, other: &str| -> Result<String, Error> {
+            .map_err(|error| entry_error("the file", error.to_string(), "expected JSON"))?;
+        let text_entry = |field: &str, variable_name: &str| -> Result<String, Error> {
             match root.get(field) {
                 Some(Value::String(text)) => Ok(text.clone()),
-                None | Some(Value::Null) => variable(other)
-                    .ok_or_else(|| entry(field, "nothing".to_string(), "text, here or in the environment")),
-                Some(found) => Err(entry(field, found.to_string(), "text is wanted")),
+                None | Some(Value::Null) => variable(variable_name).ok_or_else(|| {
+                    entry_error(
+                        field,
+                        "nothing".to_string(),
+                        "expected text, here or in the environment variable",
+                    )
+                }),
+                Some(found) => Err(entry_error(field, found.to_string(), "expected text")),
             }
         };
-        let address = |field: &str, other: &str| -> Result<SocketAddr, Error> {
-            let text = word(field, other)?;
-            text.parse().map_err(|_| entry(field, text, "an address and a port are wanted"))
+        let address_entry = |field: &str, variable_name: &str| -> Result<SocketAddr, Error> {
+            let text = text_entry(field, variable_name)?;
+            text.parse().map_err(|_| entry_error(field, text, "expected an address and a port"))
         };
-        let seed = word("seed", "BALANCER_SEED")?;
+        let seed = text_entry("seed", "BALANCER_SEED")?;
         let seed = u64::from_str_radix(&seed, 16)
-            .map_err(|_| entry("seed", seed, "at most 16 hex digits are wanted"))?;
-        let part = |field: &str| root.get(field).cloned().unwrap_or(Value::Null);
-        let limits = match part("limits") {
+            .map_err(|_| entry_error("seed", seed, "expected at most 16 hex digits"))?;
+        let value_of = |field: &str| root.get(field).cloned().unwrap_or(Value::Null);
+        let limits = match value_of("limits") {
             Value::Null => Limits::default(),
-            value => serde_json::from_value(value)
-                .map_err(|error| entry("limits", error.to_string(), "memory_mb and sockets as numbers"))?,
+            value => serde_json::from_value(value).map_err(|error| {
+                entry_error("limits", error.to_string(), "expected memory_mb and sockets as numbers")
+            })?,
         };
         if limits.sockets < 64 || limits.memory_mb.is_nan() || limits.memory_mb < 16.0 {
             let found = format!("sockets {} and memory_mb {}", limits.sockets, limits.memory_mb);
-            return Err(entry("limits", found, "64 sockets and 16 MB at least"));
+            return Err(entry_error("limits", found, "expected at least 64 sockets and 16 MB"));
         }
-        let known = match part("known") {
+        let initial_list = match value_of("known") {
             Value::Null => Listing::default(),
-            value => serde_json::from_value(value)
-                .map_err(|error| entry("known", error.to_string(), "discovery's form is wanted"))?,
+            value => serde_json::from_value(value).map_err(|error| {
+                entry_error("known", error.to_string(), "expected a list in the format of discovery")
+            })?,
         };
-        let pairs = Pairs::of_json(&part("settings"));
-        let setting = |what| Error::Setting { path: path.into(), what };
-        let (mut core, names) = pairs::core(&pairs).map_err(setting)?;
-        let waits = waits(&pairs, names.bands.len()).map_err(setting)?;
-        // A repeat within the window counts by when it arrives: a connection may come up late under it.
-        core.bands.iter_mut().for_each(|band| band.window = (band.window - waits.connect).max(0.0));
+        let pairs = Pairs::of_json(&value_of("settings"));
+        let setting_error = |message| Error::Setting { path: path.into(), message };
+        let (mut core, names) = pairs::core(&pairs).map_err(setting_error)?;
+        let transport = transport_settings(&pairs, names.bands.len()).map_err(setting_error)?;
+        // A node decides by the arrival of a repeat whether it is in the window. A new connection may delay the arrival by
+        // the connect timeout, so the core uses a window that is shorter by this time.
+        core.bands
+            .iter_mut()
+            .for_each(|band| band.window = (band.window - transport.connect_timeout).max(0.0));
         Ok(Config {
             path: path.into(),
-            name: word("name", "BALANCER_NAME")?,
-            listen: address("listen", "BALANCER_LISTEN")?,
-            discovery: address("discovery", "BALANCER_DISCOVERY")?,
+            name: text_entry("name", "BALANCER_NAME")?,
+            listen: address_entry("listen", "BALANCER_LISTEN")?,
+            discovery: address_entry("discovery", "BALANCER_DISCOVERY")?,
             seed,
             limits,
-            known,
+            initial_list,
             core,
             names,
-            waits,
+            transport,
         })
     }
 }
 
-fn waits(pairs: &Pairs, bands: usize) -> Result<Waits, String> {
-    let time = |path: &str| match pairs.number(path)? {
+fn transport_settings(pairs: &Pairs, band_count: usize) -> Result<TransportSettings, String> {
+    let positive_time = |path: &str| match pairs.number(path)? {
         time if time > 0.0 => Ok(time),
-        found => Err(format!("setting {path}: found {found}; a time above 0 is wanted")),
+        found => Err(format!("setting {path}: found {found}; expected a time above 0")),
     };
-    let deadlines: Result<Vec<f64>, String> =
-        (0..bands).map(|at| time(&format!("Grades.{at}.Deadline"))).collect();
+    let band_deadlines: Result<Vec<f64>, String> =
+        (0..band_count).map(|band| positive_time(&format!("Grades.{band}.Deadline"))).collect();
     let fields = pairs.text("Reporting.Fields").unwrap_or("");
-    Ok(Waits {
-        connect: time("Ceilings.ConnectTimeout")?,
-        idle: time("Ceilings.ConnIdle")?,
+    Ok(TransportSettings {
+        connect_timeout: positive_time("Ceilings.ConnectTimeout")?,
+        node_idle_timeout: positive_time("Ceilings.ConnIdle")?,
         drain_grace: pairs.number("Rules.DrainGrace")?,
-        deadlines: deadlines?,
-        blocks: pairs.optional("FamilyInfo.NShards")?.unwrap_or(1 << 16),
-        most_units: pairs.optional("FamilyInfo.MostUnits")?.unwrap_or(1e6),
-        load: fields.split(',').filter(|field| !field.is_empty()).map(String::from).collect(),
+        band_deadlines: band_deadlines?,
+        block_count: pairs.optional("FamilyInfo.NShards")?.unwrap_or(1 << 16),
+        max_units: pairs.optional("FamilyInfo.MostUnits")?.unwrap_or(1e6),
+        load_fields: fields.split(',').filter(|field| !field.is_empty()).map(String::from).collect(),
     })
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,4 +1,4 @@
-//! The way in: one task for each client connection, one request at a time.
+//! Client connections: one task for each connection, which serves one request at a time.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -13,155 +13,170 @@
 use quaypath_initiator::event_loop::{read_some, run_turn, try_read, with_timeout, Driver, Notify, Received};
 use quaypath_initiator::polls::yield_if_spent;
 
-use crate::instance::{Permit, Shared, ShutdownStage, Weakly};
-use crate::READ;
+use crate::instance::{MemoryPermit, SharedInstance, ShutdownStage, WeakInstance};
+use crate::MAX_READ_BYTES;
 
-/// A whole request is wanted within so many seconds of the connection's opening, or of its own first byte.
-const PATIENCE: f64 = 2.5;
-/// An idle connection that was used before is closed after this, seconds; and where more than half of the room for
-/// client connections is taken. The platform allows it from 2 s on.
-pub const IDLE: f64 = 15.0;
-pub const IDLE_PRESSED: f64 = 2.0;
-/// How long a peer may take to read an answer, seconds.
-const WRITE: f64 = 5.0;
-/// What is still coming in when an error is written is read for so long, and so much of it, before the close: the
-/// reset that unread bytes bring would eat the error.
-const LINGER: f64 = 1.0;
-const LINGER_BYTES: usize = 1 << 20;
-/// The same for one that finds no room, whose descriptor is scarce.
-const TURNED_AWAY: f64 = 0.2;
-/// How often a client that asks whether we are up is looked after while we are not, seconds.
-const ASKED_AGAIN: Duration = Duration::from_millis(10);
+/// A request must be complete within this time from the opening of the connection or from its own first byte, seconds.
+const REQUEST_TIMEOUT: f64 = 2.5;
+/// A connection that was used before is closed when it is idle for longer than this, seconds. The platform allows it from
+/// 2 s on.
+pub const IDLE_TIMEOUT: f64 = 15.0;
+/// The idle timeout while more than half of the allowed client connections are open, seconds.
+pub const IDLE_TIMEOUT_UNDER_PRESSURE: f64 = 2.0;
+/// Time that a client may take to read a response, seconds.
+const WRITE_TIMEOUT: f64 = 5.0;
+/// Longest time during which bytes that still arrive are read and discarded before a connection is closed, seconds. With
+/// unread bytes the close would send a reset, which may destroy an error response before the client reads it.
+const LINGER_TIMEOUT: f64 = 1.0;
+/// Largest number of bytes discarded before a connection is closed.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Longest time for refusing a client beyond the connection limit, seconds: descriptors are scarce then.
+const REFUSAL_TIMEOUT: f64 = 0.2;
+/// Interval of the readiness checks for a client that asked for `/up` while the gateway is not ready.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The state of a client connection. Every change goes through [`ClientConnection::to`].
+/// The state of a client connection. Every change is made by [`ClientConnection::set_state`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Opened, and no whole request yet.
+    /// Opened, and no complete request received yet.
     Fresh,
     /// Between two requests.
     Idle,
-    /// Half a request.
+    /// A request is partly received.
     Reading,
     /// A transaction is open.
     Busy,
-    /// To be closed, unless a request has come meanwhile.
+    /// The connection is to be closed, unless a request has arrived meanwhile.
     Closing,
-    /// The same, and its room is wanted at once.
+    /// As `Closing`, and without lingering, because its descriptor is needed at once.
     Evicted,
-    /// No more is sent on it, and what still comes is thrown away for a while.
+    /// No more is sent on it, and what still arrives is discarded for a limited time.
     Lingering,
 }
 
+/// What the instance knows of a client connection.
 pub struct ClientConnection {
     pub state: ConnectionState,
+    /// Since when it is in this state, seconds.
     pub since: f64,
+    /// Asks the task of the connection to close it.
     pub close_request: Rc<Notify>,
 }
 
 impl ClientConnection {
-    pub fn to(&mut self, next: ConnectionState, now: f64) {
+    pub fn set_state(&mut self, next: ConnectionState, now: f64) {
         (self.state, self.since) = (next, now);
         if matches!(next, ConnectionState::Closing | ConnectionState::Evicted) {
             self.close_request.notify();
         } else {
-            // What a request has come before is not to be closed at the next wait.
+            // A request arrived before the close request, which must not take effect at the next wait.
             self.close_request.clear();
         }
     }
 }
 
-/// A final answer.
-pub enum Answer {
-    /// What the node sent: kind and body, counted until it is written.
-    Settled(Option<String>, Vec<u8>, #[allow(dead_code)] Permit),
-    /// Nothing came of it, and it may be tried again after so many seconds.
+/// The final answer of a transaction.
+pub enum FinalAnswer {
+    /// Content type and body from the node. The body counts against the memory budget until it is written.
+    Settled(Option<String>, Vec<u8>, #[allow(dead_code)] MemoryPermit),
+    /// Nothing has run, and the client may retry after this many seconds.
     Declined(f64),
-    /// No promise.
+    /// The transaction ended without a result; whether it has run is not known.
     Scrapped,
 }
 
-impl Answer {
+impl FinalAnswer {
     fn encode(&self, close: bool) -> Vec<u8> {
         match self {
-            Answer::Settled(kind, body, _) => {
-                let kind = kind.as_deref().map(|kind| ("Content-Type", kind));
-                encode_response(200, kind.as_slice(), body, close)
+            FinalAnswer::Settled(content_type, body, _) => {
+                let content_type = content_type.as_deref().map(|content_type| ("Content-Type", content_type));
+                encode_response(200, content_type.as_slice(), body, close)
             }
-            Answer::Declined(come_back) if *come_back > 0.0 => {
-                let wait = format!("{:.3}", (come_back * 1e3).ceil() / 1e3);
-                encode_response(503, &[("Retry-After", &wait)], b"declined\n", close)
+            FinalAnswer::Declined(retry_after) if *retry_after > 0.0 => {
+                let retry_after = format!("{:.3}", (retry_after * 1e3).ceil() / 1e3);
+                encode_response(503, &[("Retry-After", &retry_after)], b"declined\n", close)
             }
-            Answer::Declined(_) => encode_response(503, &[], b"declined\n", close),
-            Answer::Scrapped => encode_response(500, &[], b"scrapped\n", close),
+            FinalAnswer::Declined(_) => encode_response(503, &[], b"declined\n", close),
+            FinalAnswer::Scrapped => encode_response(500, &[], b"scrapped\n", close),
         }
     }
 }
 
-/// Where a transaction's final answer is left for its client's task.
+/// Passes the final answer of a transaction to the task of its client connection.
 #[derive(Default)]
-pub struct Reply {
-    answer: RefCell<Option<Answer>>,
-    told: Notify,
+pub struct AnswerSlot {
+    answer: RefCell<Option<FinalAnswer>>,
+    answered: Notify,
 }
 
-impl Reply {
-    pub fn give(&self, answer: Answer) {
+impl AnswerSlot {
+    pub fn set(&self, answer: FinalAnswer) {
         *self.answer.borrow_mut() = Some(answer);
-        self.told.notify();
+        self.answered.notify();
     }
 
-    async fn wait(&self) -> Answer {
+    async fn wait(&self) -> FinalAnswer {
         loop {
             if let Some(answer) = self.answer.borrow_mut().take() {
                 return answer;
             }
-            self.told.wait().await;
+            self.answered.wait().await;
         }
     }
 }
 
 /// Serves one client connection until it ends.
-pub async fn serve(instance: Weakly, number: u64, close_request: Rc<Notify>, stream: Rc<Async<TcpStream>>) {
-    let mut client =
-        Client { instance, number, close_request, stream, decoder: RequestDecoder::default(), arrived: 0.0 };
-    let _ = client.run().await;
-    if let Some(this) = client.instance.upgrade() {
+pub async fn serve(
+    instance: WeakInstance, number: u64, close_request: Rc<Notify>, stream: Rc<Async<TcpStream>>,
+) {
+    let mut task = ClientTask {
+        instance,
+        number,
+        close_request,
+        stream,
+        decoder: RequestDecoder::default(),
+        last_received: 0.0,
+    };
+    let _ = task.run().await;
+    if let Some(this) = task.instance.upgrade() {
         this.borrow_mut().clients.remove(&number);
     }
 }
 
-struct Client {
-    instance: Weakly,
+/// The task of one client connection.
+struct ClientTask {
+    instance: WeakInstance,
+    /// The number of the connection in the instance.
     number: u64,
     close_request: Rc<Notify>,
     stream: Rc<Async<TcpStream>>,
     decoder: RequestDecoder,
-    /// When bytes came last.
-    arrived: f64,
+    /// When bytes were received last, seconds; 0 before the first.
+    last_received: f64,
 }
 
-/// What a wait for more of a request ended with.
-enum Went {
-    More,
-    End,
+/// What ended a wait for more bytes of a request.
+enum WaitEnd {
+    Bytes,
+    PeerClosed,
     CloseRequested,
-    Late,
+    TimedOut,
 }
 
-impl Client {
-    fn instance(&self) -> io::Result<Shared> {
+impl ClientTask {
+    fn instance(&self) -> io::Result<SharedInstance> {
         self.instance.upgrade().ok_or(io::ErrorKind::NotConnected.into())
     }
 
-    /// Notes the state that the connection is in now.
+    /// Sets the state of the connection and returns the current time.
     fn enter(&self, state: ConnectionState) -> io::Result<f64> {
         let this = self.instance()?;
         let mut this = this.borrow_mut();
         let now = this.clock_now();
         if let Some(client) = this.clients.get_mut(&self.number) {
-            let known = client.state;
-            if known != state && !(known == ConnectionState::Fresh && state == ConnectionState::Idle) {
-                client.to(state, now);
+            let previous = client.state;
+            if previous != state && !(previous == ConnectionState::Fresh && state == ConnectionState::Idle) {
+                client.set_state(state, now);
             }
         }
         Ok(now)
@@ -169,80 +184,81 @@
 
     async fn run(&mut self) -> io::Result<()> {
         loop {
-            let Some((request, held)) = self.request().await? else { return Ok(()) };
+            let Some((request, memory)) = self.next_request().await? else { return Ok(()) };
             let close = request.close;
             let target = request.target.split('?').next().unwrap_or("");
             if request.method == "GET" && target == "/up" {
                 self.enter(ConnectionState::Busy)?;
-                while !self.instance()?.borrow().ready() {
-                    Timer::after(ASKED_AGAIN).await;
+                while !self.instance()?.borrow().is_ready() {
+                    Timer::after(READINESS_CHECK_INTERVAL).await;
                 }
                 self.write(&encode_response(200, &[], b"up\n", close)).await?;
-            } else if !self.transaction(request, held).await? {
+            } else if !self.serve_transaction(request, memory).await? {
                 return Ok(());
             }
             if close {
-                return self.end().await;
+                return self.close().await;
             }
-            // Many requests may have come in one read.
+            // One read may have received many requests.
             yield_if_spent().await;
         }
     }
 
-    /// The next whole request with the room for its body; none where the connection has been closed.
-    async fn request(&mut self) -> io::Result<Option<(Request, Permit)>> {
+    /// Receives the next request and acquires the memory for its body; `None` if the connection was closed.
+    async fn next_request(&mut self) -> io::Result<Option<(Request, MemoryPermit)>> {
         let opened = self.enter(ConnectionState::Idle)?;
-        let first = self.arrived == 0.0;
-        let mut until = first.then_some(opened + PATIENCE);
-        let mut held: Option<Permit> = None;
-        let mut told = false;
+        let first = self.last_received == 0.0;
+        let mut deadline = first.then_some(opened + REQUEST_TIMEOUT);
+        let mut memory: Option<MemoryPermit> = None;
+        let mut continue_sent = false;
         loop {
             match self.decoder.poll() {
                 Ok(Some(request)) => {
-                    let Some(held) = held.or_else(|| self.hold(request.body.len())) else {
-                        self.refuse(503, "no room for a body").await?;
+                    let Some(memory) = memory.or_else(|| self.acquire_memory(request.body.len())) else {
+                        self.reject(503, "no room for a body").await?;
                         return Ok(None);
                     };
-                    return Ok(Some((request, held)));
+                    return Ok(Some((request, memory)));
                 }
                 Ok(None) => {}
-                Err(refused) => {
-                    self.refuse(refused.status, refused.reason).await?;
+                Err(error) => {
+                    self.reject(error.status, error.reason).await?;
                     return Ok(None);
                 }
             }
             let announced = self.decoder.announced_body();
-            if announced > 0 && held.is_none() {
-                held = self.hold(announced);
-                if held.is_none() {
-                    self.refuse(503, "no room for a body").await?;
+            if announced > 0 && memory.is_none() {
+                memory = self.acquire_memory(announced);
+                if memory.is_none() {
+                    self.reject(503, "no room for a body").await?;
                     return Ok(None);
                 }
             }
-            if self.decoder.expects_continue() && !told {
-                told = true;
+            if self.decoder.expects_continue() && !continue_sent {
+                continue_sent = true;
                 self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
             }
             if self.decoder.has_partial_request() {
-                if self.instance()?.borrow().stop == ShutdownStage::Terminating {
-                    self.refuse(503, "the process ends").await?;
+                if self.instance()?.borrow().shutdown_stage == ShutdownStage::Terminating {
+                    self.reject(503, "the process ends").await?;
                     return Ok(None);
                 }
                 let now = self.enter(ConnectionState::Reading)?;
-                until.get_or_insert(now + PATIENCE);
+                deadline.get_or_insert(now + REQUEST_TIMEOUT);
             }
-            match self.more(until).await? {
-                Went::More => {}
-                Went::End => return Ok(None),
-                Went::Late if self.decoder.has_partial_request() => {
-                    self.refuse(408, "no whole request in time").await?;
+            match self.wait_for_bytes(deadline).await? {
+                WaitEnd::Bytes => {}
+                WaitEnd::PeerClosed => return Ok(None),
+                WaitEnd::TimedOut if self.decoder.has_partial_request() => {
+                    self.reject(408, "no whole request in time").await?;
                     return Ok(None);
                 }
-                // Asked to make room, at a stop, or idle for too long: unless something has just come.
-                Went::Late | Went::CloseRequested => {
+                // The connection is to be evicted, the process stops, or the connection was idle for too long. It is closed
+                // unless bytes have just arrived.
+                WaitEnd::TimedOut | WaitEnd::CloseRequested => {
                     if !self.decoder.has_partial_request() {
-                        if self.nothing_came()? {
-                            self.end().await?;
+                        if self.nothing_arrived()? {
+                            self.close().await?;
                             return Ok(None);
                         }
                         self.enter(ConnectionState::Idle)?;
@@ -252,122 +268,124 @@
         }
     }
 
-    /// A last look before a close between two requests: false where bytes have come since the last one.
-    fn nothing_came(&mut self) -> io::Result<bool> {
+    /// Reads without waiting before a connection is closed between two requests; false if bytes have arrived.
+    fn nothing_arrived(&mut self) -> io::Result<bool> {
         let decoder = &mut self.decoder;
-        let came = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes))?;
-        if matches!(came, Some(Received::Bytes(()))) {
-            self.arrived = self.instance()?.borrow().clock_now();
+        let received = try_read(self.stream.get_ref(), MAX_READ_BYTES, |bytes| decoder.feed(bytes))?;
+        if matches!(received, Some(Received::Bytes(()))) {
+            self.last_received = self.instance()?.borrow().clock_now();
             return Ok(false);
         }
         Ok(true)
     }
 
-    fn hold(&self, bytes: usize) -> Option<Permit> {
+    fn acquire_memory(&self, bytes: usize) -> Option<MemoryPermit> {
         let this = self.instance.upgrade()?;
-        let held = this.borrow_mut().hold(bytes);
-        held
+        let memory = this.borrow_mut().acquire_request_memory(bytes);
+        memory
     }
 
-    /// Waits for more bytes, a request to close, or the end of patience.
-    async fn more(&mut self, until: Option<f64>) -> io::Result<Went> {
+    /// Waits for more bytes, a close request or the deadline.
+    async fn wait_for_bytes(&mut self, deadline: Option<f64>) -> io::Result<WaitEnd> {
         let now = self.instance()?.borrow().clock_now();
         let decoder = &mut self.decoder;
         let read = async {
-            match read_some(&self.stream, READ, |bytes| decoder.feed(bytes)).await? {
-                Received::Bytes(()) => Ok(Went::More),
-                Received::End => Ok(Went::End),
+            match read_some(&self.stream, MAX_READ_BYTES, |bytes| decoder.feed(bytes)).await? {
+                Received::Bytes(()) => Ok(WaitEnd::Bytes),
+                Received::End => Ok(WaitEnd::PeerClosed),
             }
         };
-        let asked = async {
+        let close_requested = async {
             self.close_request.wait().await;
-            Ok(Went::CloseRequested)
+            Ok(WaitEnd::CloseRequested)
         };
-        let late = async {
-            match until {
-                Some(until) => Timer::after(Duration::from_secs_f64((until - now).max(0.0))).await,
+        let timed_out = async {
+            match deadline {
+                Some(deadline) => Timer::after(Duration::from_secs_f64((deadline - now).max(0.0))).await,
                 None => pending().await,
             };
-            Ok(Went::Late)
+            Ok(WaitEnd::TimedOut)
         };
-        let went: io::Result<Went> = read.or(asked).or(late).await;
-        if matches!(went, Ok(Went::More)) {
-            self.arrived = self.instance()?.borrow().clock_now();
+        let end: io::Result<WaitEnd> = read.or(close_requested).or(timed_out).await;
+        if matches!(end, Ok(WaitEnd::Bytes)) {
+            self.last_received = self.instance()?.borrow().clock_now();
         }
-        went
+        end
     }
 
-    /// One transaction from its request to its final answer; false where the connection has been closed.
-    async fn transaction(&mut self, request: Request, held: Permit) -> io::Result<bool> {
+    /// Serves one transaction from its request to its final answer; false if the connection was closed.
+    async fn serve_transaction(&mut self, request: Request, memory: MemoryPermit) -> io::Result<bool> {
         let this = self.instance()?;
         self.enter(ConnectionState::Busy)?;
         let wants_close = request.close;
-        let taken = run_turn(&this, |this| this.take(request, held, self.arrived));
-        let (id, reply) = match taken {
-            Ok(taken) => taken,
-            Err((status, why)) => {
+        let accepted = run_turn(&this, |this| this.accept_transaction(request, memory, self.last_received));
+        let (id, answer_slot) = match accepted {
+            Ok(accepted) => accepted,
+            Err((status, reason)) => {
                 drop(this);
-                self.refuse(status, why).await?;
+                self.reject(status, reason).await?;
                 return Ok(false);
             }
         };
         drop(this);
         let (decoder, stream, mut overrun) = (&mut self.decoder, self.stream.clone(), false);
-        let gone = async {
-            // What comes meanwhile is the next request. Past a head's length it is thrown away, and the connection
-            // ends behind this answer: left in the kernel, it would hide that its client has gone.
+        let disconnected = async {
+            // Bytes that arrive meanwhile belong to the next request. Beyond the length of a head they are discarded, and
+            // the connection is closed after this answer: left in the kernel, they would hide that the client has
+            // disconnected.
             loop {
                 let room = MAX_HEAD_BYTES.saturating_sub(decoder.buffered());
-                let keep = |bytes: &[u8]| {
+                let feed = |bytes: &[u8]| {
                     decoder.feed(&bytes[..bytes.len().min(room)]);
                     bytes.len() > room
                 };
-                match read_some(&stream, READ, keep).await {
-                    Ok(Received::Bytes(over)) => overrun |= over,
+                match read_some(&stream, MAX_READ_BYTES, feed).await {
+                    Ok(Received::Bytes(excess)) => overrun |= excess,
                     Ok(Received::End) | Err(_) => return None,
                 }
             }
         };
-        let answer = async { Some(reply.wait().await) }.or(gone).await;
+        let answer = async { Some(answer_slot.wait().await) }.or(disconnected).await;
         let this = self.instance()?;
         let Some(answer) = answer else {
-            run_turn(&this, |this| this.lapsed(id));
+            run_turn(&this, |this| this.client_cancelled(id));
             return Ok(false);
         };
-        let stopping = this.borrow().stop > ShutdownStage::No;
+        let stopping = this.borrow().shutdown_stage > ShutdownStage::Running;
         drop(this);
-        // At a stop the answer ends the connection, unless a further request has come behind this one.
-        let ends = overrun
+        // During a shutdown the connection is closed after the answer, unless another request has arrived after this one.
+        let close = overrun
             || stopping && {
                 let decoder = &mut self.decoder;
-                let _ = try_read(self.stream.get_ref(), READ, |bytes| decoder.feed(bytes));
+                let _ = try_read(self.stream.get_ref(), MAX_READ_BYTES, |bytes| decoder.feed(bytes));
                 !decoder.has_partial_request()
             };
-        self.write(&answer.encode(wants_close || ends)).await?;
-        if ends {
-            self.end().await?;
+        self.write(&answer.encode(wants_close || close)).await?;
+        if close {
+            self.close().await?;
         }
-        Ok(!ends)
+        Ok(!close)
     }
 
     async fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = &*self.stream;
-        with_timeout(WRITE, async { stream.write_all(bytes).await }).await
+        with_timeout(WRITE_TIMEOUT, async { stream.write_all(bytes).await }).await
     }
 
-    /// An error for what cannot be read or is not fit, and the end of the connection.
-    async fn refuse(&mut self, status: u16, why: &str) -> io::Result<()> {
-        // Nothing more is read of what it sent, which may be much: a crowd of such clients waits for its close.
+    /// Sends an error response for a request that is invalid or cannot be served, and closes the connection.
+    async fn reject(&mut self, status: u16, reason: &str) -> io::Result<()> {
+        // The bytes received so far are released at once, because many such connections may wait for their close.
         self.decoder = RequestDecoder::default();
         if let Some(this) = self.instance.upgrade() {
-            this.borrow_mut().counts.unfit += 1;
+            this.borrow_mut().counts.rejected += 1;
         }
-        self.write(&encode_error_response(status, why)).await?;
-        self.end().await
+        self.write(&encode_error_response(status, reason)).await?;
+        self.close().await
     }
 
-    /// Says that no more is sent, and takes what is still coming for a while, or until its room is wanted.
-    async fn end(&self) -> io::Result<()> {
+    /// Closes the connection for sending, and discards what still arrives for a limited time or until the connection is
+    /// evicted.
+    async fn close(&self) -> io::Result<()> {
         let this = self.instance()?;
         let evicted = this.borrow().clients.get(&self.number).map(|client| client.state)
             == Some(ConnectionState::Evicted);
@@ -376,36 +394,38 @@
             return self.stream.get_ref().shutdown(Shutdown::Write);
         }
         self.enter(ConnectionState::Lingering)?;
-        let asked = async {
+        let close_requested = async {
             self.close_request.wait().await;
             Ok(())
         };
-        linger(&self.stream).or(asked).await
+        linger(&self.stream).or(close_requested).await
     }
 }
 
+/// Closes a connection for sending, and reads and discards what still arrives for a limited time.
 async fn linger(stream: &Async<TcpStream>) -> io::Result<()> {
     stream.get_ref().shutdown(Shutdown::Write)?;
-    let mut left = LINGER_BYTES;
-    let rest = async {
-        while left > 0 {
-            match read_some(stream, READ, <[u8]>::len).await? {
-                Received::Bytes(count) => left = left.saturating_sub(count),
+    let mut remaining = MAX_LINGER_BYTES;
+    let discard = async {
+        while remaining > 0 {
+            match read_some(stream, MAX_READ_BYTES, <[u8]>::len).await? {
+                Received::Bytes(count) => remaining = remaining.saturating_sub(count),
                 Received::End => break,
             }
         }
         Ok(())
     };
-    with_timeout(LINGER, rest).await
+    with_timeout(LINGER_TIMEOUT, discard).await
 }
 
-/// Tells a client for whom there is no room that it may come again, in place of a close without a word.
-pub async fn turn_away(stream: Rc<Async<TcpStream>>, _refusal: Rc<()>) {
+/// Refuses a client beyond the connection limit with a 503 response, which tells it that it may retry; a bare close would not.
+/// `_permit` is one of the limited number of concurrent refusals.
+pub async fn refuse(stream: Rc<Async<TcpStream>>, _permit: Rc<()>) {
     let text = encode_error_response(503, "no room for a connection");
     let mut writer = &*stream;
-    let told = async {
+    let refusal = async {
         writer.write_all(&text).await?;
         linger(&stream).await
     };
-    let _ = with_timeout(TURNED_AWAY, told).await;
+    let _ = with_timeout(REFUSAL_TIMEOUT, refusal).await;
 }
--- a/crates/platform/src/idle_reuse.rs
+++ b/crates/platform/src/idle_reuse.rs
@@ -1,38 +1,45 @@
-//! Which connections to nodes may be used again, by how those fared that had rested for as long.
+//! Decides which idle connections to nodes may be reused, by how reused connections with the same idle time fared.
 
 use quaypath::ring::Ring;
 
-/// How long a connection rests after an answer before it is used again, seconds. A node may answer a second time, some
-/// milliseconds late and more where it is busy, and nothing in an answer tells whose it is: one that comes on a connection
-/// in use is the next request's. So it has to have come, and been seen, before that use.
-pub const SHORTEST_REST: f64 = 0.05;
-/// The shortest rests that are told apart in the statistics, seconds.
-const FIRST_KIND: f64 = 0.001;
-/// Connections may be dropped far sooner than the settings say, and without a word: by whoever keeps track of them on
-/// the way. Then those that rested for longer than what goes well are not used. Rests are told apart by doubling from
-/// [`FIRST_KIND`]; a kind goes badly where more than this share was lost under its request, among so many uses that are
-/// taken to have gone well. A lost request costs far more than a fresh connection, but not twice in ten.
-const BADLY: f64 = 0.1;
-const WELL: f64 = 20.0;
-const RESTS: usize = 16;
-/// Idle reuse statistics: how connections fared of late, by how long they had rested before their use.
+/// How long a connection must be idle after a response before it is reused, seconds. A node may send a second response to
+/// the same request, some milliseconds late, and later if it is busy. Nothing in a response identifies its request, so a
+/// response that arrives on a connection in use is taken for that of the next request. A second response therefore has to
+/// arrive, and be noticed, before the connection is reused.
+pub const MIN_IDLE_TIME: f64 = 0.05;
+/// Upper end of the first class of idle times, seconds. Each further class covers idle times up to twice as long.
+const FIRST_CLASS_IDLE_TIME: f64 = 0.001;
+/// Devices on the path that track connections may drop an idle connection far sooner than the settings say, and without
+/// notice. Connections that were idle for too long to survive that are therefore not reused. A class of idle times is too
+/// long if more than this share of its uses lost the request. A lost request costs far more than a fresh connection, but
+/// not twice in ten.
+const MAX_LOST_SHARE: f64 = 0.1;
+/// Number of uses without a loss that each class is assumed to have had in addition.
+const ASSUMED_SUCCESSES: f64 = 20.0;
+/// Number of classes of idle times.
+const CLASSES: usize = 16;
+
+/// Statistics of reused connections over the last 15 s: for each class of idle times the share of uses that lost the
+/// request.
 pub struct IdleReuse(Vec<Ring>);
 
 impl Default for IdleReuse {
     fn default() -> Self {
-        IdleReuse(vec![Ring::new(3.0, 5); RESTS])
+        IdleReuse(vec![Ring::new(3.0, 5); CLASSES])
     }
 }
 
 impl IdleReuse {
-    pub fn note(&mut self, now: f64, rest: f64, lost: bool) {
-        let kind = (rest / FIRST_KIND).max(1.0).log2() as usize;
-        self.0[kind.min(RESTS - 1)].add(now, f64::from(u8::from(lost)), 1.0);
+    /// Records the use of a connection after this idle time, in seconds, and whether the request was lost.
+    pub fn record(&mut self, now: f64, idle_time: f64, lost: bool) {
+        let class = (idle_time / FIRST_CLASS_IDLE_TIME).max(1.0).log2() as usize;
+        self.0[class.min(CLASSES - 1)].add(now, f64::from(u8::from(lost)), 1.0);
     }
 
-    /// The rest past which a connection is not used, seconds.
-    pub fn longest(&mut self, now: f64) -> f64 {
-        let bad = self.0.iter_mut().position(|kind| kind.blend(now, 0.0, WELL) > BADLY);
-        bad.map_or(f64::INFINITY, |kind| FIRST_KIND * f64::powi(2.0, kind as i32))
+    /// The idle time from which on a connection is not reused, seconds.
+    pub fn max_idle_time(&mut self, now: f64) -> f64 {
+        let first_lossy =
+            self.0.iter_mut().position(|class| class.blend(now, 0.0, ASSUMED_SUCCESSES) > MAX_LOST_SHARE);
+        first_lossy.map_or(f64::INFINITY, |class| FIRST_CLASS_IDLE_TIME * f64::powi(2.0, class as i32))
     }
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -1,9 +1,10 @@
-//! One initiator's state outside the core: open transactions, connections, nodes, timers. What happens on the
-//! sockets becomes a call of the core here, and what the core asks for is carried out here; nothing is decided.
+//! The state of one gateway outside the core: open transactions, connections, nodes, timers. Events on the sockets are
+//! passed to the core here, and the actions that the core requests are executed here. This module takes no scheduling
+//! decisions.
 //!
-//! Bounds, and what happens at them: client connections (the longest idle is closed, then the new one), bytes of
-//! bodies held (turned away before the core), connections to nodes (an idle one is closed, then the shot ends as
-//! one that could not connect), ids remembered (the oldest is let go).
+//! Limits, and what happens when they are reached: client connections (the longest idle one is closed, or else the new one
+//! is refused), memory for bodies of requests (the request is rejected before the core sees it), connections to nodes (an
+//! idle one is closed, or else the shot ends as one that could not connect), remembered request ids (the oldest is removed).
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -23,117 +24,147 @@
 use tracing::{debug, info, warn};
 
 use crate::config::Config;
-use crate::decode::{asked, onward, Told};
 use crate::discovery::{Listing, Status};
-use crate::front::{Answer, ClientConnection, ConnectionState, Reply, IDLE, IDLE_PRESSED};
+use crate::front::{
+    AnswerSlot, ClientConnection, ConnectionState, FinalAnswer, IDLE_TIMEOUT, IDLE_TIMEOUT_UNDER_PRESSURE,
+};
+use crate::headers::{decode_transaction, encode_forwarded_head, NodeReport};
 use crate::idle_reuse::IdleReuse;
-use crate::ids::{ReplayWindow, Seen};
-use crate::outcome::{outcome, Ended};
+use crate::outcome::{outcome, ShotEnd};
+use crate::replay_window::{HashedId, ReplayWindow};
 use crate::upstream::{self, Pool};
 
-/// How late a timer may ring before it counts as a stall, seconds.
-const STALL: f64 = 0.06;
-/// How often idle connections are looked over, seconds.
-const SWEEP: f64 = 0.25;
-
-/// How long a node that was told gone is remembered, seconds: no list is older than that.
-const GONE_KEPT: f64 = 60.0;
-/// Descriptors that no client and no node can take: three for standard streams, three for the reactor, three for signals
-/// and the listener, four for calls to discovery at each of two addresses, and a spare for what is just being accepted.
-const KEPT: usize = 20;
-/// Shares of the others: clients, nodes.
-const CLIENTS: f64 = 0.45;
-const NODES: f64 = 0.36;
-/// Client connections above their share: those that are closing while the next are let in, and those that are told that
-/// there is no room.
-const CLOSING: usize = 4;
-const REFUSALS: f64 = 0.04;
-const FEWEST_REFUSALS: usize = 4;
-/// Discovery is waited for so long before we say that we are up, seconds: what its agent has counts as told from our
-/// first moment, and where it is silent it has told nothing.
-const LISTENED: f64 = 1.0;
-/// Share of the memory that bodies of requests may take together, and those of answers, and of one answer. The
-/// platform's page says 64 KiB, but nodes were seen to answer reads with six times that.
-const BODIES: f64 = 0.2;
-const ONE_ANSWER: f64 = 0.05;
-
-/// What an instance counted since its start.
+/// A timer that fires later than this counts as a stall, seconds.
+const STALL_THRESHOLD: f64 = 0.06;
+/// Interval of the check of idle connections, seconds.
+const SWEEP_INTERVAL: f64 = 0.25;
+
+/// How long a removed node is remembered, seconds: no list is older than this.
+const REMOVED_NODE_RETENTION: f64 = 60.0;
+/// Descriptors that are not available for clients and nodes: three for the standard streams, three for the reactor, three
+/// for signals and the listener, four for calls to discovery at each of two addresses, and a spare for a connection that is
+/// being accepted.
+const RESERVED_DESCRIPTORS: usize = 20;
+/// Share of the available descriptors for client connections.
+const CLIENT_SHARE: f64 = 0.45;
+/// Share of the available descriptors for connections to nodes.
+const NODE_SHARE: f64 = 0.36;
+/// Client connections allowed beyond their share, while the evicted ones close.
+const MAX_CLOSING_CLIENTS: usize = 4;
+/// Share of the available descriptors for clients that are being refused, and the least number of them.
+const REFUSAL_SHARE: f64 = 0.04;
+const MIN_REFUSALS: usize = 4;
+/// Time that the gateway waits for discovery's first list before it reports that it is ready, seconds. What the discovery
+/// agent knows counts as reported to the gateway from the moment that it is ready; if discovery is silent, nothing was
+/// reported.
+const FIRST_LIST_TIMEOUT: f64 = 1.0;
+/// Share of the memory for the bodies of all requests together, and the same share again for those of all responses.
+const BODY_MEMORY_SHARE: f64 = 0.2;
+/// Share of the memory for the body of one response. The platform specification says 64 KiB, but nodes were seen to answer
+/// reads with six times that.
+const RESPONSE_MEMORY_SHARE: f64 = 0.05;
+
+/// What the gateway has counted since its start.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counts {
-    pub taken: u64,
+    /// Transactions accepted from clients.
+    #[serde(rename = "taken")]
+    pub transactions: u64,
     pub settled: u64,
     pub declined: u64,
     pub scrapped: u64,
-    pub lapsed: u64,
-    /// Requests refused as unreadable or unfit, before the core.
-    pub unfit: u64,
+    /// Transactions whose client disconnected before the final answer.
+    #[serde(rename = "lapsed")]
+    pub client_cancelled: u64,
+    /// Requests rejected before the core, because they were invalid or could not be served.
+    #[serde(rename = "unfit")]
+    pub rejected: u64,
+    /// Client connections accepted from the kernel.
     pub accepted: u64,
-    /// Client connections closed to make room.
+    /// Client connections closed to make room for others.
     pub evicted: u64,
-    /// Client connections that were told that there is no room.
-    pub turned_away: u64,
+    /// Client connections refused because of the connection limit.
+    #[serde(rename = "turned_away")]
+    pub refused: u64,
     pub shots: u64,
-    pub further: u64,
+    /// Shots after the first of their transaction.
+    #[serde(rename = "further")]
+    pub further_shots: u64,
+    /// Connections to nodes that were attempted.
     pub connects: u64,
     pub connects_failed: u64,
-    /// Idle connections that were found ended or with bytes that nobody asked for.
+    /// Idle connections that were closed instead of reused.
     pub stale: u64,
     /// Shots by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
     /// Calls to discovery that failed or fell silent.
     pub discovery_lost: u64,
+    /// Timers that fired late by more than the stall threshold.
     pub stalls: u64,
-    /// The latest timer since the last report, seconds behind its time.
-    pub lag: f64,
-    /// How long the loop's tasks ran at a time since the last report, microseconds.
+    /// The longest delay of a timer since the last report, seconds.
+    #[serde(rename = "lag")]
+    pub max_timer_delay: f64,
+    /// How long the event loop's tasks ran at a time since the last report, microseconds.
     pub polls: PollSummary,
-    pub open: usize,
-    pub clients: usize,
+    /// Open transactions.
+    #[serde(rename = "open")]
+    pub open_transactions: usize,
+    /// Open client connections.
+    #[serde(rename = "clients")]
+    pub client_connections: usize,
     pub node_connections: usize,
+    /// Volumes that the core keeps.
     pub volumes: usize,
+    /// Ordering keys that the core keeps.
     pub keys: usize,
+    /// Open file descriptors of the process.
     pub descriptors: usize,
+    /// Resident memory, KiB.
     pub resident_kb: usize,
 }
 
-/// What happens to the core, in order.
-enum Happened {
-    List(ListScope, Vec<Listed>),
-    Taken(u64),
-    Back(u64, u32, Outcome, Told),
-    Lapsed(u64),
-    Rang(u64),
+/// An event for the core. Events are passed on in the order in which they occur.
+enum CoreEvent {
+    NodeList(ListScope, Vec<Listed>),
+    TransactionReceived(u64),
+    ShotCompleted(u64, u32, Outcome, NodeReport),
+    ClientCancelled(u64),
+    TimerFired(u64),
 }
 
 enum Timer {
+    /// A timer of the core, by its tag.
     Core(u64),
-    /// The time of a shot is up.
-    Stop(u64, u32),
+    /// The timeout of a shot, by its transaction and number.
+    ShotTimeout(u64, u32),
     Sweep,
 }
 
-/// How far the graceful shutdown has come, in order.
+/// The stages of the graceful shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownStage {
-    No,
-    /// Answers end their connections.
+    Running,
+    /// A connection is closed after the answer that it is used for.
     Draining,
     /// Idle connections are closed too.
     ClosingIdle,
-    /// What was open has been answered, and what comes yet is refused at once.
+    /// All open transactions were answered, and new ones are rejected.
     Terminating,
 }
 
-/// A shot, shared with the task that carries it out.
+/// A shot, shared with the task that executes it.
 pub struct Shot {
+    /// Number of its transaction.
     pub id: u64,
+    /// Number of the shot in its transaction, from 0.
     pub number: u32,
     pub node: NodeId,
+    /// Time at which it is stopped, seconds.
     pub stop_at: f64,
     pub sent_at: f64,
     progress: Cell<Progress>,
-    ended: Cell<Option<Ended>>,
-    told: Notify,
+    end: Cell<Option<ShotEnd>>,
+    end_notify: Notify,
 }
 
 impl Shot {
@@ -141,41 +172,41 @@
         self.progress.get()
     }
 
-    pub fn to(&self, next: Progress) {
+    pub fn advance_to(&self, next: Progress) {
         let mut progress = self.progress.get();
         progress.advance_to(next);
         self.progress.set(progress);
     }
 
-    fn end(&self, ended: Ended) {
-        if self.ended.get().is_none() {
-            self.ended.set(Some(ended));
-            self.told.notify();
+    fn end(&self, end: ShotEnd) {
+        if self.end.get().is_none() {
+            self.end.set(Some(end));
+            self.end_notify.notify();
         }
     }
 
-    /// Waits until the shot is ended from this side.
-    pub async fn ended(&self) -> Ended {
+    /// Waits until the instance ends the shot.
+    pub async fn ended(&self) -> ShotEnd {
         loop {
-            if let Some(ended) = self.ended.get() {
-                return ended;
+            if let Some(end) = self.end.get() {
+                return end;
             }
-            self.told.wait().await;
+            self.end_notify.wait().await;
         }
     }
 }
 
-/// What a transaction sends, the same with every shot.
-pub struct Message {
+/// The part of a transaction's request that is the same in every shot.
+pub struct ForwardedRequest {
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    _held: Permit,
+    _memory: MemoryPermit,
 }
 
-struct Open {
-    seen: Seen,
-    /// Its client's connection and where the final answer goes, until that is given.
-    client: Option<Rc<Reply>>,
+struct OpenTransaction {
+    request_id: HashedId,
+    /// Passes the final answer to the client; `None` once it is given or the client has disconnected.
+    client: Option<Rc<AnswerSlot>>,
     band: usize,
     plan: Option<usize>,
     volume: VolumeId,
@@ -183,126 +214,139 @@
     block: Option<i64>,
     initiators: f64,
     units: f64,
-    outer: f64,
-    message: Rc<Message>,
+    /// Outer limit: time at which the client's budget ends, seconds.
+    outer_limit: f64,
+    request: Rc<ForwardedRequest>,
+    /// Number of shots sent so far.
     shots: u32,
+    /// The shot in flight.
     shot: Option<Rc<Shot>>,
 }
 
-impl Open {
-    /// Nobody waits any more. A shot whose last byte has not left is no request yet, and must not become one: that
-    /// needs no leave to cancel, as no node has begun it.
-    fn call_off(&self) {
+impl OpenTransaction {
+    /// Cancels the shot in flight if its last byte was not sent, because no client waits for the answer any more. Such a
+    /// shot must not become a complete request. Since no node has begun it, this does not require that the settings allow
+    /// cancelling.
+    fn cancel_unsent_shot(&self) {
         let unsent = self.shot.as_ref().filter(|shot| shot.progress() < Progress::Sent);
-        unsent.into_iter().for_each(|shot| shot.end(Ended::CalledOff));
+        unsent.into_iter().for_each(|shot| shot.end(ShotEnd::Cancelled));
     }
 }
 
-/// A memory budget: bytes that may be held together, and those that are.
+/// A memory budget: the bytes in use and the largest number of bytes that may be in use.
 #[derive(Clone)]
 pub struct MemoryBudget(Rc<(Cell<usize>, usize)>);
 
 impl MemoryBudget {
-    fn new(most: usize) -> Self {
-        MemoryBudget(Rc::new((Cell::new(0), most)))
+    fn new(max_bytes: usize) -> Self {
+        MemoryBudget(Rc::new((Cell::new(0), max_bytes)))
     }
 
-    /// Counts so many bytes, whether there is room or not.
-    pub fn hold(&self, bytes: usize) -> Permit {
-        let (all, _) = &*self.0;
-        all.set(all.get() + bytes);
-        Permit(self.clone(), bytes)
+    /// Counts this many bytes as used, even beyond the budget.
+    pub fn acquire(&self, bytes: usize) -> MemoryPermit {
+        let (used, _) = &*self.0;
+        used.set(used.get() + bytes);
+        MemoryPermit(self.clone(), bytes)
     }
 
-    fn left(&self) -> usize {
+    fn available(&self) -> usize {
         self.0 .1.saturating_sub(self.0 .0.get())
     }
 }
 
-/// A permit: bytes that are counted while this is kept.
-pub struct Permit(MemoryBudget, usize);
+/// Bytes of a memory budget, which count as used until this is dropped.
+pub struct MemoryPermit(MemoryBudget, usize);
 
-impl Permit {
-    /// Counts more bytes, if there is room.
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= self.0.left();
+impl MemoryPermit {
+    /// Adds this many bytes if the budget has them available, and returns whether it had.
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
+        let fits = bytes <= self.0.available();
         if fits {
-            let (all, _) = &*self.0 .0;
-            all.set(all.get() + bytes);
+            let (used, _) = &*self.0 .0;
+            used.set(used.get() + bytes);
             self.1 += bytes;
         }
         fits
     }
 }
 
-impl Drop for Permit {
+impl Drop for MemoryPermit {
     fn drop(&mut self) {
-        let (all, _) = &*self.0 .0;
-        all.set(all.get() - self.1);
+        let (used, _) = &*self.0 .0;
+        used.set(used.get() - self.1);
     }
 }
 
+/// A listed node.
 pub struct Node {
     address: SocketAddr,
+    /// Idle connections to the node.
     pub pool: Pool,
-    /// Since when we know that it drains.
-    shut_since: Option<f64>,
+    /// Since when the gateway knows that the node drains, seconds.
+    draining_since: Option<f64>,
+    /// When the node started, seconds since 1970.
     started: f64,
 }
 
 impl Node {
-    /// Where it is, and since when: a connection leads to one that was started there then, and to no other.
-    pub fn life(&self) -> (SocketAddr, f64) {
+    /// Address and start time. A connection leads to the process that was started there then, and to no other.
+    pub fn incarnation(&self) -> (SocketAddr, f64) {
         (self.address, self.started)
     }
 
-    pub fn drains(&self) -> bool {
-        self.shut_since.is_some()
+    pub fn is_draining(&self) -> bool {
+        self.draining_since.is_some()
     }
 }
 
-pub type Shared = Rc<RefCell<Instance>>;
-pub type Weakly = Weak<RefCell<Instance>>;
+pub type SharedInstance = Rc<RefCell<Instance>>;
+pub type WeakInstance = Weak<RefCell<Instance>>;
 
+/// One gateway on one core. Times are in seconds on its clock, which counts from 1970.
 pub struct Instance {
     pub config: Config,
     core: Box<dyn Core>,
+    /// Actions that the core requested and that were not executed yet.
     actions: Actions,
-    events: VecDeque<Happened>,
+    /// Events that were not passed to the core yet.
+    events: VecDeque<CoreEvent>,
     clock: Clock,
+    /// The time of the current turn of the event loop.
     pub now: f64,
     timers: TimerWheel<Timer>,
-    wake: Rc<Notify>,
-    open: BTreeMap<u64, Open>,
+    timer_changed: Rc<Notify>,
+    /// Open transactions, and those that have ended while a shot is in flight.
+    open: BTreeMap<u64, OpenTransaction>,
     next_id: u64,
-    ids: ReplayWindow,
+    replay_window: ReplayWindow,
     pub clients: BTreeMap<u64, ClientConnection>,
     next_client: u64,
-    most_clients: usize,
-    refusals: Rc<()>,
-    most_refusals: usize,
+    max_clients: usize,
+    /// Cloned for each refusal in progress; the reference count limits their number.
+    refusal_permit: Rc<()>,
+    max_refusals: usize,
     started: f64,
     pub nodes: BTreeMap<NodeId, Node>,
-    /// Connections to nodes, idle ones included.
+    /// Number of connections to nodes, idle ones included.
     pub upstream_connections: Rc<Cell<usize>>,
-    pub most_upstream_connections: usize,
+    pub max_upstream_connections: usize,
     pub idle_reuse: IdleReuse,
-    /// For bodies of requests, and for those of answers.
-    requests: MemoryBudget,
-    answers: MemoryBudget,
-    /// The list's version, and whose word it is: with a new discovery address comes a new number.
-    pub index: u64,
-    pub source: u64,
-    /// The number of the newest address.
-    pub newest: u64,
-    /// Whether discovery has told its whole list since the start.
-    pub heard: bool,
-    /// Nodes that were told gone of late, with their start, and when.
-    gone: BTreeMap<NodeId, (f64, f64)>,
-    pub stop: ShutdownStage,
+    request_memory: MemoryBudget,
+    response_memory: MemoryBudget,
+    /// The version of the node list.
+    pub list_index: u64,
+    /// The number of the discovery address that sent the list. Each new address has a higher number.
+    pub list_source: u64,
+    /// The number of the newest discovery address.
+    pub newest_source: u64,
+    /// Whether discovery has sent its whole list since the start.
+    pub list_received: bool,
+    /// Nodes removed within the retention time: their start time, and when they were removed.
+    removed_nodes: BTreeMap<NodeId, (f64, f64)>,
+    pub shutdown_stage: ShutdownStage,
     pub counts: Counts,
     executor: Weak<LocalExecutor<'static>>,
-    me: Weakly,
+    weak_self: WeakInstance,
 }
 
 impl Driver for Instance {
@@ -312,9 +356,9 @@
 
     fn finish_turn(&mut self) {
         while let Some(event) = self.events.pop_front() {
-            self.feed(event);
+            self.pass_to_core(event);
             while let Some(action) = self.actions.0.pop_front() {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
@@ -328,22 +372,26 @@
     }
 
     fn timer_changed(&self) -> Rc<Notify> {
-        self.wake.clone()
+        self.timer_changed.clone()
     }
 
     fn fire_timers(&mut self) {
-        let late = self.timers.next_expiry().filter(|at| at.is_finite()).map_or(0.0, |at| self.now - at);
-        self.counts.stalls += u64::from(late > STALL);
-        self.counts.lag = self.counts.lag.max(late);
+        let delay = self
+            .timers
+            .next_expiry()
+            .filter(|expiry| expiry.is_finite())
+            .map_or(0.0, |expiry| self.now - expiry);
+        self.counts.stalls += u64::from(delay > STALL_THRESHOLD);
+        self.counts.max_timer_delay = self.counts.max_timer_delay.max(delay);
         let mut due = Vec::new();
         self.timers.advance(self.now, &mut due);
         for timer in due {
             match timer {
-                Timer::Core(tag) => self.events.push_back(Happened::Rang(tag)),
-                Timer::Stop(id, number) => self.end_shot(id, number, Ended::TimeUp),
+                Timer::Core(tag) => self.events.push_back(CoreEvent::TimerFired(tag)),
+                Timer::ShotTimeout(id, number) => self.end_shot(id, number, ShotEnd::TimedOut),
                 Timer::Sweep => {
                     self.sweep();
-                    self.timers.set(self.now + SWEEP, Timer::Sweep);
+                    self.timers.set(self.now + SWEEP_INTERVAL, Timer::Sweep);
                 }
             }
         }
@@ -351,12 +399,14 @@
 }
 
 impl Instance {
-    pub fn start(config: Config, executor: &Rc<LocalExecutor<'static>>) -> Shared {
+    /// Creates the instance with the node list of its configuration.
+    pub fn start(config: Config, executor: &Rc<LocalExecutor<'static>>) -> SharedInstance {
         let clock = Clock::default();
         let now = clock.now();
         let mut actions = Actions::default();
         let core = core::scheduler_with_settings(now, config.seed, config.core.clone(), &mut actions);
-        let share = |part: f64| ((config.limits.sockets - KEPT) as f64 * part) as usize;
+        let descriptors =
+            |share: f64| ((config.limits.sockets - RESERVED_DESCRIPTORS) as f64 * share) as usize;
         let memory = config.limits.memory_mb * 1e6;
         let instance = Rc::new(RefCell::new(Instance {
             core,
@@ -365,360 +415,392 @@
             clock,
             now,
             timers: TimerWheel::new(now),
-            wake: Rc::default(),
+            timer_changed: Rc::default(),
             open: BTreeMap::new(),
             next_id: 1,
-            ids: ReplayWindow::default(),
+            replay_window: ReplayWindow::default(),
             clients: BTreeMap::new(),
             next_client: 1,
-            most_clients: share(CLIENTS),
-            refusals: Rc::default(),
-            most_refusals: share(REFUSALS).max(FEWEST_REFUSALS),
+            max_clients: descriptors(CLIENT_SHARE),
+            refusal_permit: Rc::default(),
+            max_refusals: descriptors(REFUSAL_SHARE).max(MIN_REFUSALS),
             started: now,
             nodes: BTreeMap::new(),
             upstream_connections: Rc::default(),
-            most_upstream_connections: share(NODES).max(8),
+            max_upstream_connections: descriptors(NODE_SHARE).max(8),
             idle_reuse: IdleReuse::default(),
-            requests: MemoryBudget::new((memory * BODIES) as usize),
-            answers: MemoryBudget::new((memory * BODIES) as usize),
-            index: config.known.index,
-            source: 0,
-            newest: 0,
-            heard: false,
-            gone: BTreeMap::new(),
-            stop: ShutdownStage::No,
+            request_memory: MemoryBudget::new((memory * BODY_MEMORY_SHARE) as usize),
+            response_memory: MemoryBudget::new((memory * BODY_MEMORY_SHARE) as usize),
+            list_index: config.initial_list.index,
+            list_source: 0,
+            newest_source: 0,
+            list_received: false,
+            removed_nodes: BTreeMap::new(),
+            shutdown_stage: ShutdownStage::Running,
             counts: Counts::default(),
             executor: Rc::downgrade(executor),
-            me: Weak::new(),
+            weak_self: Weak::new(),
             config,
         }));
         let mut this = instance.borrow_mut();
-        this.me = Rc::downgrade(&instance);
-        this.timers.set(now + SWEEP, Timer::Sweep);
-        let known = std::mem::take(&mut this.config.known);
-        this.listed(&known, ListScope::Cached, false);
+        this.weak_self = Rc::downgrade(&instance);
+        this.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
+        let initial_list = std::mem::take(&mut this.config.initial_list);
+        this.apply_list(&initial_list, ListScope::Cached, false);
         this.finish_turn();
-        info!(name = this.config.name, nodes = this.nodes.len(), "started with the list as it was known");
+        info!(
+            name = this.config.name,
+            nodes = this.nodes.len(),
+            "started with the node list of the configuration"
+        );
         drop(this);
         instance
     }
 
-    fn feed(&mut self, event: Happened) {
+    fn pass_to_core(&mut self, event: CoreEvent) {
         let (now, out) = (self.now, &mut self.actions);
         match event {
-            Happened::List(scope, entries) => self.core.list_known(now, scope, &entries, out),
-            Happened::Taken(id) => {
-                let Some(t) = self.open.get(&id) else { return };
+            CoreEvent::NodeList(scope, entries) => self.core.list_known(now, scope, &entries, out),
+            CoreEvent::TransactionReceived(id) => {
+                let Some(transaction) = self.open.get(&id) else { return };
                 self.core.taken(
                     now,
                     TransactionId(id),
-                    t.initiators,
-                    t.plan.map(PlanId),
-                    BandId(t.band),
-                    Some(t.extent.clone()),
-                    t.outer - now,
-                    t.units,
-                    t.volume.clone(),
-                    t.block.map(BlockId),
+                    transaction.initiators,
+                    transaction.plan.map(PlanId),
+                    BandId(transaction.band),
+                    Some(transaction.extent.clone()),
+                    transaction.outer_limit - now,
+                    transaction.units,
+                    transaction.volume.clone(),
+                    transaction.block.map(BlockId),
                     out,
                 );
             }
-            Happened::Back(id, number, outcome, told) => {
-                let Some(t) = self.open.get_mut(&id) else { return };
-                let Some(shot) = t.shot.take_if(|shot| shot.number == number) else { return };
-                *self.counts.outcomes.entry(name(outcome)).or_default() += 1;
-                let over = t.client.is_none();
-                let last = over || outcome == Outcome::Settled;
-                let (id, delay) = (TransactionId(id), now - shot.sent_at);
+            CoreEvent::ShotCompleted(id, number, outcome, report) => {
+                let Some(transaction) = self.open.get_mut(&id) else { return };
+                let Some(shot) = transaction.shot.take_if(|shot| shot.number == number) else { return };
+                *self.counts.outcomes.entry(outcome_name(outcome)).or_default() += 1;
+                let ended = transaction.client.is_none();
+                let last = ended || outcome == Outcome::Settled;
+                let (id, latency) = (TransactionId(id), now - shot.sent_at);
                 let node = &shot.node;
-                let report = &told.report;
+                let load = &report.load;
                 self.core.returned(
                     now,
                     id,
                     node,
                     number,
                     0.0,
-                    delay,
+                    latency,
                     last,
                     outcome,
-                    told.others,
-                    report,
+                    report.others_units,
+                    load,
                     out,
                 );
-                if over {
-                    self.forget(id.0);
+                if ended {
+                    self.remove_transaction(id.0);
                 }
             }
-            Happened::Lapsed(id) => self.core.lapsed(now, TransactionId(id), out),
-            Happened::Rang(tag) => self.core.rang(now, tag, out),
+            CoreEvent::ClientCancelled(id) => self.core.lapsed(now, TransactionId(id), out),
+            CoreEvent::TimerFired(tag) => self.core.rang(now, tag, out),
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send(id, stop_at, node) => self.send(id, stop_at, node),
-            Action::Cancel(id, number) => self.end_shot(id, number, Ended::CalledOff),
-            Action::Decline(id, come_back) => {
-                self.counts.declined += u64::from(self.answer(id, Answer::Declined(come_back)));
+            Action::Cancel(id, number) => self.end_shot(id, number, ShotEnd::Cancelled),
+            Action::Decline(id, retry_after) => {
+                self.counts.declined += u64::from(self.answer(id, FinalAnswer::Declined(retry_after)));
             }
-            Action::Scrap(id) => self.counts.scrapped += u64::from(self.answer(id, Answer::Scrapped)),
+            Action::Scrap(id) => self.counts.scrapped += u64::from(self.answer(id, FinalAnswer::Scrapped)),
             Action::Timer(after, tag) => self.timers.set(self.now + after.max(0.0), Timer::Core(tag)),
-            // The watch is the driver's to keep up, asked for or not: the agent answers at once and at no cost.
+            // The discovery tasks keep up the watch whether the core requests it or not: the discovery agent answers at
+            // once, and calls cost it nothing.
             Action::RegisterCall(_) => {}
             Action::Close(node) => {
                 self.nodes.get_mut(&node).into_iter().for_each(|node| node.pool.clear());
             }
-            Action::Unsupported(what) => debug!(what, "asked for by the core, and not carried out here"),
+            Action::Unsupported(what) => debug!(
+                what,
+                "the core requested an action that the platform gateway does not support; ignored"
+            ),
         }
     }
 
     // Transactions.
 
-    /// Takes a request whose last byte came at `arrived`, or gives the status that its sender is owed.
-    pub fn take(
-        &mut self, request: Request, held: Permit, arrived: f64,
-    ) -> Result<(u64, Rc<Reply>), (u16, &'static str)> {
-        if self.stop == ShutdownStage::Terminating {
+    /// Opens a transaction for a request whose last byte arrived at `arrived`. Returns its number and where its final answer
+    /// will be put, or the status and the text of an error response.
+    pub fn accept_transaction(
+        &mut self, request: Request, memory: MemoryPermit, arrived: f64,
+    ) -> Result<(u64, Rc<AnswerSlot>), (u16, &'static str)> {
+        if self.shutdown_stage == ShutdownStage::Terminating {
             return Err((503, "the process ends"));
         }
-        let asked = asked(&request, &self.config)?;
-        let seen = self.ids.open(&asked.id).ok_or((409, "X-Request-ID is another request's"))?;
+        let decoded = decode_transaction(&request, &self.config)?;
+        let request_id =
+            self.replay_window.open(&decoded.id).ok_or((409, "X-Request-ID is another request's"))?;
         let id = self.next_id;
         self.next_id += 1;
-        let reply = Rc::new(Reply::default());
-        let message = Rc::new(Message { head: onward(&request), body: request.body, _held: held });
+        let answer_slot = Rc::new(AnswerSlot::default());
+        let request = Rc::new(ForwardedRequest {
+            head: encode_forwarded_head(&request),
+            body: request.body,
+            _memory: memory,
+        });
         self.open.insert(
             id,
-            Open {
-                seen,
-                client: Some(reply.clone()),
-                band: asked.band,
-                plan: asked.plan,
-                volume: VolumeId(Arc::from(asked.volume)),
-                extent: ExtentId(Arc::from(asked.extent)),
-                block: asked.block,
-                initiators: asked.initiators,
-                units: asked.units,
-                outer: arrived + asked.budget,
-                message,
+            OpenTransaction {
+                request_id,
+                client: Some(answer_slot.clone()),
+                band: decoded.band,
+                plan: decoded.plan,
+                volume: VolumeId(Arc::from(decoded.volume)),
+                extent: ExtentId(Arc::from(decoded.extent)),
+                block: decoded.block,
+                initiators: decoded.initiators,
+                units: decoded.units,
+                outer_limit: arrived + decoded.budget,
+                request,
                 shots: 0,
                 shot: None,
             },
         );
-        self.counts.taken += 1;
-        self.events.push_back(Happened::Taken(id));
-        Ok((id, reply))
-    }
-
-    /// Its client has gone.
-    pub fn lapsed(&mut self, id: u64) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.client.is_some()) else { return };
-        open.client = None;
-        let out = open.shot.is_some();
-        open.call_off();
-        self.counts.lapsed += 1;
-        self.events.push_back(Happened::Lapsed(id));
-        if !out {
-            self.forget(id);
+        self.counts.transactions += 1;
+        self.events.push_back(CoreEvent::TransactionReceived(id));
+        Ok((id, answer_slot))
+    }
+
+    /// Records that the client of a transaction has disconnected before the final answer.
+    pub fn client_cancelled(&mut self, id: u64) {
+        let Some(transaction) = self.open.get_mut(&id).filter(|transaction| transaction.client.is_some())
+        else {
+            return;
+        };
+        transaction.client = None;
+        let in_flight = transaction.shot.is_some();
+        transaction.cancel_unsent_shot();
+        self.counts.client_cancelled += 1;
+        self.events.push_back(CoreEvent::ClientCancelled(id));
+        if !in_flight {
+            self.remove_transaction(id);
         }
     }
 
-    /// A transaction is over, and no shot of it out.
-    fn forget(&mut self, id: u64) {
-        let keep = self.config.waits.longest() + 1.0;
-        if let Some(open) = self.open.remove(&id) {
-            self.ids.end(self.now, open.seen, keep);
+    /// Removes a transaction that has ended and has no shot in flight.
+    fn remove_transaction(&mut self, id: u64) {
+        let retention = self.config.transport.longest_deadline() + 1.0;
+        if let Some(transaction) = self.open.remove(&id) {
+            self.replay_window.end(self.now, transaction.request_id, retention);
         }
     }
 
-    /// The final answer of a transaction; false where it has none to get any more.
-    fn answer(&mut self, id: u64, answer: Answer) -> bool {
-        let Some(open) = self.open.get_mut(&id) else { return false };
-        let Some(reply) = open.client.take() else { return false };
-        open.call_off();
-        if open.shot.is_none() {
-            self.forget(id);
+    /// Gives the final answer of a transaction to its client; false if the transaction has ended before.
+    fn answer(&mut self, id: u64, answer: FinalAnswer) -> bool {
+        let Some(transaction) = self.open.get_mut(&id) else { return false };
+        let Some(answer_slot) = transaction.client.take() else { return false };
+        transaction.cancel_unsent_shot();
+        if transaction.shot.is_none() {
+            self.remove_transaction(id);
         }
-        reply.give(answer);
+        answer_slot.set(answer);
         true
     }
 
-    /// Room for a body of so many bytes, if there is any.
-    pub fn hold(&mut self, bytes: usize) -> Option<Permit> {
-        let mut held = self.requests.hold(0);
-        held.grow(bytes).then_some(held)
+    /// Memory for the body of a request, if it is available.
+    pub fn acquire_request_memory(&mut self, bytes: usize) -> Option<MemoryPermit> {
+        let mut permit = self.request_memory.acquire(0);
+        permit.try_grow(bytes).then_some(permit)
     }
 
-    /// The budget for answers, and the longest body of one.
-    pub fn answers(&self) -> (MemoryBudget, usize) {
-        (self.answers.clone(), (self.config.limits.memory_mb * 1e6 * ONE_ANSWER) as usize)
+    /// The memory budget for bodies of responses, and the longest body of one response, bytes.
+    pub fn response_memory(&self) -> (MemoryBudget, usize) {
+        (self.response_memory.clone(), (self.config.limits.memory_mb * 1e6 * RESPONSE_MEMORY_SHARE) as usize)
     }
 
-    /// No transaction is open, and no client connected.
-    pub fn nothing_left(&self) -> bool {
+    /// Whether no transaction is open and no client connected.
+    pub fn is_quiescent(&self) -> bool {
         self.open.is_empty() && self.clients.is_empty()
     }
 
     // Shots.
 
     fn send(&mut self, id: u64, stop_at: f64, node: NodeId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let stop_at = if stop_at > 0.0 { stop_at.min(open.outer) } else { open.outer };
+        let Some(transaction) = self.open.get_mut(&id) else { return };
+        let stop_at =
+            if stop_at > 0.0 { stop_at.min(transaction.outer_limit) } else { transaction.outer_limit };
         let shot = Rc::new(Shot {
             id,
-            number: open.shots,
+            number: transaction.shots,
             node,
             stop_at,
             sent_at: self.now,
             progress: Cell::new(Progress::Connecting),
-            ended: Cell::new(None),
-            told: Notify::default(),
+            end: Cell::new(None),
+            end_notify: Notify::default(),
         });
-        open.shots += 1;
+        transaction.shots += 1;
         self.counts.shots += 1;
-        self.counts.further += u64::from(shot.number > 0);
-        open.shot = Some(shot.clone());
-        self.timers.set(stop_at, Timer::Stop(id, shot.number));
-        let message = open.message.clone();
+        self.counts.further_shots += u64::from(shot.number > 0);
+        transaction.shot = Some(shot.clone());
+        self.timers.set(stop_at, Timer::ShotTimeout(id, shot.number));
+        let request = transaction.request.clone();
         if let Some(executor) = self.executor.upgrade() {
             let peer = Peer::Node(shot.node.0.clone());
-            spawn(&executor, TaskKind::Attempt, peer, upstream::shoot(self.me.clone(), shot, message));
+            spawn(
+                &executor,
+                TaskKind::Attempt,
+                peer,
+                upstream::run_shot(self.weak_self.clone(), shot, request),
+            );
         }
     }
 
-    fn end_shot(&mut self, id: u64, number: u32, ended: Ended) {
-        let shot = self.open.get(&id).and_then(|open| open.shot.as_ref());
-        shot.filter(|shot| shot.number == number).into_iter().for_each(|shot| shot.end(ended));
+    fn end_shot(&mut self, id: u64, number: u32, end: ShotEnd) {
+        let shot = self.open.get(&id).and_then(|transaction| transaction.shot.as_ref());
+        shot.filter(|shot| shot.number == number).into_iter().for_each(|shot| shot.end(end));
     }
 
-    /// A shot is over, and its connection closed or back in the pool.
-    pub fn returned(&mut self, shot: &Shot, ended: Ended, told: Told, answer: Option<Answer>) {
-        let outcome = outcome(ended, shot.progress());
+    /// Records the end of a shot whose connection was closed or returned to the pool.
+    pub fn shot_completed(
+        &mut self, shot: &Shot, end: ShotEnd, report: NodeReport, answer: Option<FinalAnswer>,
+    ) {
+        let outcome = outcome(end, shot.progress());
         if outcome == Outcome::Settled {
             let settled = answer.is_some_and(|answer| self.answer(shot.id, answer));
             self.counts.settled += u64::from(settled);
         }
-        self.events.push_back(Happened::Back(shot.id, shot.number, outcome, told));
+        self.events.push_back(CoreEvent::ShotCompleted(shot.id, shot.number, outcome, report));
     }
 
-    /// Shots out at a node by the sockets.
-    pub fn out(&self, node: &NodeId) -> usize {
-        let shots = self.open.values().filter_map(|open| open.shot.as_ref());
+    /// Number of shots in flight to a node.
+    pub fn shots_in_flight(&self, node: &NodeId) -> usize {
+        let shots = self.open.values().filter_map(|transaction| transaction.shot.as_ref());
         shots.filter(|shot| shot.node == *node).count()
     }
 
-    /// Whether nothing may leave for a node any more: it has drained for as long as the rule allows, with room
-    /// for what the kernel takes.
-    pub fn shut(&self, node: &NodeId) -> bool {
-        let since = self.nodes.get(node).map(|node| node.shut_since);
-        since.is_none_or(|since| {
-            since.is_some_and(|since| self.now - since >= 0.8 * self.config.waits.drain_grace)
+    /// Whether nothing may be sent to a node any more, because it is not listed or because its drain grace is nearly over. The
+    /// last fifth of the grace is left for what the kernel still has to send.
+    pub fn is_closed(&self, node: &NodeId) -> bool {
+        let draining_since = self.nodes.get(node).map(|node| node.draining_since);
+        draining_since.is_none_or(|since| {
+            since.is_some_and(|since| self.now - since >= 0.8 * self.config.transport.drain_grace)
         })
     }
 
     // Discovery.
 
-    /// Whether this address of discovery is of use: the one in force until another has told its list, and the newest.
-    pub fn heeds(&self, source: u64) -> bool {
-        source == self.source || source == self.newest && source > self.source
+    /// Whether the discovery address with this number is used: the newest one, and until that has sent its list the one that
+    /// sent the current list.
+    pub fn uses_source(&self, source: u64) -> bool {
+        source == self.list_source || source == self.newest_source && source > self.list_source
     }
 
-    /// News of a list; false where it is of before what is known. A whole list of before is taken, as its versions may
-    /// be counted anew, but what is known to drain or to be gone stays so until its next start.
-    pub fn news(&mut self, listing: &Listing) -> bool {
-        let older = listing.index < self.index;
+    /// Applies a received list; false if it contains changes older than the known list. A whole list with an older version is
+    /// applied, because discovery may have begun to count its versions again, but a node that is known as draining or removed
+    /// remains so until its next start.
+    pub fn update_list(&mut self, listing: &Listing) -> bool {
+        let older = listing.index < self.list_index;
         if older && !listing.snapshot {
             return false;
         }
-        self.heard |= listing.snapshot;
-        self.index = listing.index;
-        self.listed(listing, if listing.snapshot { ListScope::Whole } else { ListScope::Changes }, older);
+        self.list_received |= listing.snapshot;
+        self.list_index = listing.index;
+        self.apply_list(listing, if listing.snapshot { ListScope::Whole } else { ListScope::Changes }, older);
         true
     }
 
-    fn listed(&mut self, listing: &Listing, scope: ListScope, older: bool) {
+    fn apply_list(&mut self, listing: &Listing, scope: ListScope, older: bool) {
         let now = self.now;
-        self.gone.retain(|_, (_, at)| now - *at < GONE_KEPT);
-        let mut known = Vec::new();
+        self.removed_nodes.retain(|_, (_, removed_at)| now - *removed_at < REMOVED_NODE_RETENTION);
+        let mut entries = Vec::new();
         for endpoint in &listing.endpoints {
             let Ok(address) = endpoint.address.parse::<SocketAddr>() else {
                 warn!(
                     node = endpoint.name,
                     address = endpoint.address,
-                    "not an address and a port; left out"
+                    "the address of a listed node is not an address and a port; ignoring the node"
                 );
                 continue;
             };
             let name = NodeId(Arc::from(endpoint.name.as_str()));
-            // Both clocks count from 1970.
+            // Discovery's clock and the gateway's both count from 1970.
             let started = endpoint.since_ms / 1e3;
-            if older && self.gone.get(&name).is_some_and(|(gone, _)| started <= *gone) {
+            if older
+                && self.removed_nodes.get(&name).is_some_and(|(removed_start, _)| started <= *removed_start)
+            {
                 continue;
             }
-            let drains = self.nodes.get(&name).filter(|node| node.started >= started);
+            let same_start = self.nodes.get(&name).filter(|node| node.started >= started);
             let condition = match endpoint.status {
-                Status::InService if older && drains.is_some_and(Node::drains) => Condition::Draining,
+                Status::InService if older && same_start.is_some_and(Node::is_draining) => {
+                    Condition::Draining
+                }
                 Status::InService => Condition::Ready,
                 Status::Terminating => Condition::Draining,
                 Status::Terminated => Condition::Gone,
             };
             match condition {
-                Condition::Gone => self.leave(&name),
+                Condition::Gone => self.remove_node(&name),
                 _ => {
-                    self.gone.remove(&name);
-                    let fresh = || Node { address, pool: Pool::default(), shut_since: None, started };
-                    let node = self.nodes.entry(name.clone()).or_insert_with(fresh);
-                    if node.life() != (address, started) {
-                        // Moved or started anew: what stands idle leads to what was there before.
+                    self.removed_nodes.remove(&name);
+                    let new_node = || Node { address, pool: Pool::default(), draining_since: None, started };
+                    let node = self.nodes.entry(name.clone()).or_insert_with(new_node);
+                    if node.incarnation() != (address, started) {
+                        // The node moved or restarted: its idle connections lead to the previous process.
                         node.pool.clear();
                         (node.address, node.started) = (address, started);
                     }
                     if condition == Condition::Ready {
-                        node.shut_since = None;
+                        node.draining_since = None;
                     } else {
-                        // Only a change says that it holds from now on; a whole list tells of what may have been for long.
+                        // Only a change says that the node drains from now on; a whole list may report a drain that began
+                        // long ago.
                         let since = if scope == ListScope::Changes { now } else { f64::NEG_INFINITY };
-                        node.shut_since.get_or_insert(since);
+                        node.draining_since.get_or_insert(since);
                         node.pool.clear();
                     }
                 }
             }
-            known.push((name, BlockId(endpoint.group), condition, started, endpoint.weight));
+            entries.push((name, BlockId(endpoint.group), condition, started, endpoint.weight));
         }
         if scope != ListScope::Changes {
-            let listed: BTreeSet<&NodeId> = known.iter().map(|(name, ..)| name).collect();
-            let gone: Vec<NodeId> =
+            let listed: BTreeSet<&NodeId> = entries.iter().map(|(name, ..)| name).collect();
+            let removed: Vec<NodeId> =
                 self.nodes.keys().filter(|name| !listed.contains(name)).cloned().collect();
-            gone.iter().for_each(|name| self.leave(name));
+            removed.iter().for_each(|name| self.remove_node(name));
         }
-        debug!(index = listing.index, ?scope, entries = known.len(), "list");
-        self.events.push_back(Happened::List(scope, known));
+        debug!(index = listing.index, ?scope, entries = entries.len(), "list");
+        self.events.push_back(CoreEvent::NodeList(scope, entries));
     }
 
-    /// A node is no longer listed.
-    fn leave(&mut self, name: &NodeId) {
+    /// Removes a node that is no longer listed.
+    fn remove_node(&mut self, name: &NodeId) {
         if let Some(node) = self.nodes.remove(name) {
-            self.gone.insert(name.clone(), (node.started, self.now));
+            self.removed_nodes.insert(name.clone(), (node.started, self.now));
         }
     }
 
     // Clients.
 
-    /// Whether clients may be told that we are up.
-    pub fn ready(&self) -> bool {
-        self.heard || self.clock.now() - self.started >= LISTENED
+    /// Whether the gateway may report to clients that it is ready.
+    pub fn is_ready(&self) -> bool {
+        self.list_received || self.clock.now() - self.started >= FIRST_LIST_TIMEOUT
     }
 
-    /// Whether more clients are connected than have room: some of them are about to close.
-    pub fn crowded(&self) -> bool {
-        self.clients.len() > self.most_clients
+    /// Whether more clients are connected than the limit allows, because evicted ones are still closing.
+    pub fn is_over_client_limit(&self) -> bool {
+        self.clients.len() > self.max_clients
     }
 
-    /// A new client connection, or nothing where there is no room.
-    pub fn opened(&mut self) -> Option<(u64, Rc<Notify>)> {
+    /// Adds a new client connection and returns its number and its close request; `None` if there is no room.
+    pub fn client_connected(&mut self) -> Option<(u64, Rc<Notify>)> {
         self.counts.accepted += 1;
-        let most = self.most_clients + CLOSING;
-        if self.clients.len() >= self.most_clients && (self.clients.len() >= most || !self.evict()) {
+        let limit = self.max_clients + MAX_CLOSING_CLIENTS;
+        if self.clients.len() >= self.max_clients && (self.clients.len() >= limit || !self.evict_client()) {
             return None;
         }
         let (number, close_request) = (self.next_client, Rc::<Notify>::default());
@@ -734,80 +816,89 @@
         Some((number, close_request))
     }
 
-    /// Leave to tell one more client that there is no room for it.
-    pub fn refusal(&mut self) -> Option<Rc<()>> {
-        let leave = (Rc::strong_count(&self.refusals) <= self.most_refusals).then(|| self.refusals.clone());
-        self.counts.turned_away += u64::from(leave.is_some());
-        leave
+    /// A permit to refuse one more client with a response; `None` if too many refusals are in progress.
+    pub fn acquire_refusal_permit(&mut self) -> Option<Rc<()>> {
+        let permit = (Rc::strong_count(&self.refusal_permit) <= self.max_refusals)
+            .then(|| self.refusal_permit.clone());
+        self.counts.refused += u64::from(permit.is_some());
+        permit
     }
 
-    /// Makes room: what is silent since it was opened goes first, with what only lingers, then what is idle for longest, then what has
-    /// just been opened. None with a transaction, nor with a request half read.
-    fn evict(&mut self) -> bool {
-        let quick = 0.2;
-        let order = |client: &ClientConnection| match client.state {
-            ConnectionState::Fresh if self.now - client.since > quick => Some(0),
+    /// Evicts one client connection; false if there is none to evict. The first choice are connections that were silent since
+    /// they were opened 0.2 s ago or earlier, and those that only linger; the second idle ones, the longest idle first; the
+    /// third those that were just opened. A connection with an open transaction or a partly received request is not evicted.
+    fn evict_client(&mut self) -> bool {
+        let first_request_grace = 0.2;
+        let priority = |client: &ClientConnection| match client.state {
+            ConnectionState::Fresh if self.now - client.since > first_request_grace => Some(0),
             ConnectionState::Lingering => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Fresh => Some(2),
             _ => None,
         };
-        let ranked = self.clients.iter().filter_map(|(at, client)| Some((order(client)?, client.since, *at)));
-        let best = ranked.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
-        let Some((_, _, at)) = best else { return false };
+        let candidates = self
+            .clients
+            .iter()
+            .filter_map(|(number, client)| Some((priority(client)?, client.since, *number)));
+        let first = candidates.min_by(|left, right| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
+        let Some((_, _, number)) = first else { return false };
         self.counts.evicted += 1;
         self.clients
-            .get_mut(&at)
+            .get_mut(&number)
             .into_iter()
-            .for_each(|client| client.to(ConnectionState::Evicted, self.now));
+            .for_each(|client| client.set_state(ConnectionState::Evicted, self.now));
         true
     }
 
-    /// The next step of the process's end, or the same once more; it never goes back.
-    pub fn stop(&mut self, next: ShutdownStage) {
-        self.stop = self.stop.max(next);
+    /// Enters the next stage of the shutdown, or repeats the current one; the stage never goes back.
+    pub fn advance_shutdown(&mut self, next: ShutdownStage) {
+        self.shutdown_stage = self.shutdown_stage.max(next);
         if next >= ShutdownStage::ClosingIdle {
             self.close_idle(f64::NEG_INFINITY);
         }
         if next == ShutdownStage::Terminating {
-            // Nor is anything taken any more: an order to close reaches those that wait for the rest of a request.
-            let waits = |client: &&mut ClientConnection| {
+            // No transaction is accepted any more, so connections that wait for the rest of a request are closed.
+            let waits_for_request = |client: &&mut ClientConnection| {
                 matches!(client.state, ConnectionState::Fresh | ConnectionState::Reading)
             };
             let now = self.now;
             self.clients
                 .values_mut()
-                .filter(waits)
-                .for_each(|client| client.to(ConnectionState::Closing, now));
-            // What is open by now has come to no end that could be told.
+                .filter(waits_for_request)
+                .for_each(|client| client.set_state(ConnectionState::Closing, now));
+            // The transactions that are still open have no result to report.
             let open: Vec<u64> = self.open.keys().copied().collect();
             for id in open {
-                self.counts.scrapped += u64::from(self.answer(id, Answer::Scrapped));
+                self.counts.scrapped += u64::from(self.answer(id, FinalAnswer::Scrapped));
             }
         }
     }
 
-    /// Closes client connections that are idle for longer than this, seconds.
-    fn close_idle(&mut self, most: f64) {
+    /// Closes client connections that are idle for longer than `max_idle` seconds.
+    fn close_idle(&mut self, max_idle: f64) {
         let now = self.now;
         let idle = |client: &&mut ClientConnection| {
-            client.state == ConnectionState::Idle && now - client.since > most
+            client.state == ConnectionState::Idle && now - client.since > max_idle
         };
-        self.clients.values_mut().filter(idle).for_each(|client| client.to(ConnectionState::Closing, now));
+        self.clients
+            .values_mut()
+            .filter(idle)
+            .for_each(|client| client.set_state(ConnectionState::Closing, now));
     }
 
     fn sweep(&mut self) {
-        let idle = self.config.waits.idle;
+        let node_idle_timeout = self.config.transport.node_idle_timeout;
         let now = self.now;
-        self.nodes.values_mut().for_each(|node| node.pool.sweep(now, idle));
-        // Clients may have as many connections as we hold, and leave some for good: those keep new ones out.
-        let pressed = 2 * self.clients.len() > self.most_clients;
-        self.close_idle(if pressed { IDLE_PRESSED } else { IDLE });
+        self.nodes.values_mut().for_each(|node| node.pool.sweep(now, node_idle_timeout));
+        // Clients may open as many connections as the gateway allows and abandon some of them, which would keep new ones out.
+        let under_pressure = 2 * self.clients.len() > self.max_clients;
+        self.close_idle(if under_pressure { IDLE_TIMEOUT_UNDER_PRESSURE } else { IDLE_TIMEOUT });
     }
 
-    /// The counts, with what is open now.
-    pub fn counted(&mut self) -> Counts {
-        (self.counts.open, self.counts.clients) = (self.open.len(), self.clients.len());
+    /// The counts with the current values. The longest timer delay and the poll summary begin anew.
+    pub fn take_counts(&mut self) -> Counts {
+        (self.counts.open_transactions, self.counts.client_connections) =
+            (self.open.len(), self.clients.len());
         self.counts.node_connections = self.upstream_connections.get();
         (self.counts.volumes, self.counts.keys) = self.core.accounts();
         self.counts.descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
@@ -816,12 +907,12 @@
         self.counts.resident_kb = pages * 4;
         self.counts.polls = take_summary();
         let counts = self.counts.clone();
-        self.counts.lag = 0.0;
+        self.counts.max_timer_delay = 0.0;
         counts
     }
 }
 
-fn name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Settled => "settled",
         Outcome::Failed => "failed",
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,17 +1,18 @@
-//! The platform's way in and out: clients and nodes over HTTP/1.1, discovery, the configuration.
+//! The gateway on the platform: clients and nodes over HTTP/1.1, discovery, and the configuration.
 //!
-//! [`run`] is one initiator on one thread. What happens on the sockets becomes a call of the core in `instance`,
-//! through the one table of [`outcome`]; what the core asks for is carried out there too. Nothing is decided here.
+//! [`run`] runs one gateway on one thread. Events on the sockets become calls of the core in `instance`, and the actions that
+//! the core requests are executed there too; [`outcome`] maps how a shot ended to the core's outcome. This crate takes no
+//! scheduling decisions.
 
 pub mod config;
-pub mod decode;
 mod discovery;
 mod front;
+pub mod headers;
 pub mod idle_reuse;
-pub mod ids;
 mod instance;
-pub mod objects;
+pub mod json_stream;
 pub mod outcome;
+pub mod replay_window;
 mod upstream;
 
 use std::io;
@@ -32,43 +33,47 @@
 pub use config::Config;
 pub use instance::Counts;
 
-use instance::{Instance, Shared, ShutdownStage, Weakly};
+use instance::{Instance, SharedInstance, ShutdownStage, WeakInstance};
 
-/// Most that is read at once, bytes: what one read brings is worked through in one poll, however small its pieces are, and
-/// what a client sends is held only as far as it is looked at.
-const READ: usize = 16 << 10;
-/// Connections that the kernel holds for us until they are accepted.
-const BACKLOG: i32 = 1024;
-/// The kill comes no sooner after SIGTERM than the longest deadline, counted as this where it is longer, and a bit,
-/// seconds (the platform's page).
-const LONGEST_COUNTED: f64 = 3.0;
-const NOTICE: f64 = 0.7;
-/// So long before the kill answers end their connections, which cannot cross the client's next request as a close can;
-/// so long before it connections are closed that are idle yet; and so long before it all that is still open is answered,
-/// seconds. Until then clients find nobody else on the connections that they have.
-const LEAVING: f64 = 1.2;
-const CLOSING: f64 = 0.6;
-const END: f64 = 0.12;
-/// New connections keep coming for up to 0.4 s after SIGTERM: nobody ends before that, seconds.
-const COMING: f64 = 0.5;
-/// What the last answers have for being written, seconds.
-const LAST_WRITES: f64 = 0.05;
-/// Driver that others have before the next client is let in where there are too many.
-const YIELDS: usize = 4;
-const REPORT: Duration = Duration::from_secs(5);
+/// Largest number of bytes that one read returns. All of them are decoded in one poll, however small the messages in them
+/// are, and bytes that a client sends ahead are buffered only to this extent.
+const MAX_READ_BYTES: usize = 16 << 10;
+/// Number of connections that the kernel queues until they are accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The platform kills the process at the earliest this long after SIGTERM: the longest deadline of all bands, but at most
+/// `MAX_COUNTED_DEADLINE`, plus `KILL_DELAY` (the platform specification). Seconds.
+const MAX_COUNTED_DEADLINE: f64 = 3.0;
+const KILL_DELAY: f64 = 0.7;
+/// The time before the kill from which on connections are closed after the answer that they are used for, seconds. Such a
+/// close cannot cross the client's next request on the connection, as the close of an idle connection can. Before this time
+/// clients keep their connections, because they find no other gateway on them.
+const DRAIN_LEAD: f64 = 1.2;
+/// The time before the kill from which on connections that are still idle are closed, seconds.
+const CLOSE_IDLE_LEAD: f64 = 0.6;
+/// The time before the kill at which everything that is still open is answered, seconds.
+const TERMINATE_LEAD: f64 = 0.12;
+/// The process does not end sooner than this after SIGTERM, seconds: new connections arrive for up to 0.4 s after it.
+const MIN_SHUTDOWN_TIME: f64 = 0.5;
+/// Time for writing the last answers, seconds.
+const LAST_WRITES_TIME: f64 = 0.05;
+/// Number of times that the accept loop yields to the other tasks before it accepts the next client while the client limit
+/// is exceeded.
+const ACCEPT_YIELDS: usize = 4;
+/// Interval of the counts in the log.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-type Executor = Weak<LocalExecutor<'static>>;
+type WeakExecutor = Weak<LocalExecutor<'static>>;
 
 fn listen(config: &Config) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(config.listen), Type::STREAM, Some(Protocol::TCP))?;
-    // A restart comes back under the same address, with connections of before still closing.
+    // A restarted process listens on the same address while connections of the previous one are still closing.
     socket.set_reuse_address(true)?;
     socket.bind(&config.listen.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Async::new(TcpListener::from(socket))
 }
 
-/// Runs one initiator until SIGTERM, and gives its counts.
+/// Runs one gateway until SIGTERM and returns its counts.
 pub fn run(config: Config) -> io::Result<Counts> {
     let signals = Signals::new([Signal::Term, Signal::Hup])?;
     let listener = listen(&config)?;
@@ -80,67 +85,70 @@
     spawn(&executor, TaskKind::Timers, Peer::None, run_timers(weak.clone()));
     let watch = discovery::watch_loop(weak.clone(), discovery, 0);
     spawn(&executor, TaskKind::Discovery, Peer::Address(discovery), watch);
-    spawn(&executor, TaskKind::Report, Peer::None, report(weak.clone()));
-    let accept = accept(weak.clone(), Rc::downgrade(&executor), listener);
+    spawn(&executor, TaskKind::Report, Peer::None, report_counts(weak.clone()));
+    let accept = accept_clients(weak.clone(), Rc::downgrade(&executor), listener);
     spawn(&executor, TaskKind::Accept, Peer::None, accept);
-    let term = Rc::<Notify>::default();
-    let obey = obey(weak, signals, Rc::downgrade(&executor), term.clone());
-    spawn(&executor, TaskKind::Signals, Peer::None, obey);
+    let terminate = Rc::<Notify>::default();
+    let signals = handle_signals(weak, signals, Rc::downgrade(&executor), terminate.clone());
+    spawn(&executor, TaskKind::Signals, Peer::None, signals);
     let done = async {
-        term.wait().await;
+        terminate.wait().await;
         shut_down(&instance).await;
     };
     async_io::block_on(polls::run(&executor, done));
-    let counts = instance.borrow_mut().counted();
+    let counts = instance.borrow_mut().take_counts();
     Ok(counts)
 }
 
-async fn accept(instance: Weakly, executor: Executor, listener: Async<TcpListener>) {
+async fn accept_clients(instance: WeakInstance, executor: WeakExecutor, listener: Async<TcpListener>) {
     loop {
         let (stream, peer) = accept_next(&listener).await;
         let peer = Peer::Address(peer);
         let (Some(this), Some(executor)) = (instance.upgrade(), executor.upgrade()) else { return };
-        if let Some((number, close_request)) = run_turn(&this, Instance::opened) {
+        if let Some((number, close_request)) = run_turn(&this, Instance::client_connected) {
             let serve = front::serve(instance.clone(), number, close_request, stream);
             spawn(&executor, TaskKind::Client, peer, serve);
-        } else if let Some(refusal) = this.borrow_mut().refusal() {
-            spawn(&executor, TaskKind::TurnAway, peer, front::turn_away(stream, refusal));
+        } else if let Some(permit) = this.borrow_mut().acquire_refusal_permit() {
+            spawn(&executor, TaskKind::TurnAway, peer, front::refuse(stream, permit));
         }
-        // The others have their run_turn, however many wait to be let in; and where there are too many those that make room
-        // go first, so that a crowd in the backlog is not let in all at once.
-        for _ in 0..YIELDS {
+        // Other tasks run between two accepts, however many clients wait in the backlog. While the client limit is exceeded,
+        // the evicted connections close first, so that the backlog is not accepted all at once.
+        for _ in 0..ACCEPT_YIELDS {
             yield_now().await;
-            if !this.borrow().crowded() {
+            if !this.borrow().is_over_client_limit() {
                 break;
             }
         }
     }
 }
 
-async fn report(instance: Weakly) {
+/// Logs the counts at intervals.
+async fn report_counts(instance: WeakInstance) {
     loop {
-        Timer::after(REPORT).await;
+        Timer::after(REPORT_INTERVAL).await;
         let Some(this) = instance.upgrade() else { return };
-        log(&this);
+        log_counts(&this);
     }
 }
 
-fn log(instance: &Shared) {
-    let counts = serde_json::to_string(&instance.borrow_mut().counted()).unwrap_or_default();
+fn log_counts(instance: &SharedInstance) {
+    let counts = serde_json::to_string(&instance.borrow_mut().take_counts()).unwrap_or_default();
     let this = instance.borrow();
     let nodes: Vec<String> = this
         .nodes
         .iter()
-        .map(|(name, node)| (name, this.out(name), node.pool.len()))
-        .filter(|(_, out, idle)| out + idle > 0)
-        .map(|(name, out, idle)| format!("{}={out}+{idle}", name.0))
+        .map(|(name, node)| (name, this.shots_in_flight(name), node.pool.len()))
+        .filter(|(_, in_flight, idle)| in_flight + idle > 0)
+        .map(|(name, in_flight, idle)| format!("{}={in_flight}+{idle}", name.0))
         .collect();
     info!(counts, nodes = nodes.join(" "), "counts");
 }
 
-/// Obeys signals for as long as the process runs; tells of SIGTERM. A new configuration behind it counts as any other:
-/// drains that only its discovery tells are kept to the end.
-async fn obey(instance: Weakly, mut signals: Signals, executor: Executor, term: Rc<Notify>) {
+/// Handles signals for as long as the process runs: SIGTERM is passed on to `terminate`, SIGHUP reloads the configuration. It
+/// does so after SIGTERM too, because nodes may drain that only the new discovery address lists.
+async fn handle_signals(
+    instance: WeakInstance, mut signals: Signals, executor: WeakExecutor, terminate: Rc<Notify>,
+) {
     let mut source = 0;
     while let Some(signal) = signals.next().await {
         let (Some(this), Some(executor)) = (instance.upgrade(), executor.upgrade()) else { return };
@@ -150,50 +158,51 @@
                 match Config::read(&path, |name| std::env::var(name).ok()) {
                     Ok(config) => {
                         source += 1;
-                        this.borrow_mut().newest = source;
+                        this.borrow_mut().newest_source = source;
                         info!(discovery = %config.discovery, "configuration read anew");
-                        // The address of before is heard until this one has told its whole list.
+                        // The previous address stays in use until the new one has sent its whole list.
                         let watch = discovery::watch_loop(instance.clone(), config.discovery, source);
                         spawn(&executor, TaskKind::Discovery, Peer::Address(config.discovery), watch);
                     }
-                    Err(error) => warn!(%error, "the configuration cannot be read; the one of before stays"),
+                    Err(error) => warn!(%error, "the configuration cannot be read; keeping the previous one"),
                 }
             }
-            Ok(Signal::Term) => term.notify(),
+            Ok(Signal::Term) => terminate.notify(),
             Ok(_) => {}
-            Err(error) => warn!(%error, "a signal was lost"),
+            Err(error) => warn!(%error, "cannot receive a signal; waiting for the next one"),
         }
     }
 }
 
-/// Serves on as before, then moves clients off by their answers, closes what is idle and answers what was taken, all
-/// before the kill. It listens to the end: what the kernel has accepted counts as taken.
-async fn shut_down(instance: &Shared) {
-    let notice = instance.borrow().config.waits.longest().min(LONGEST_COUNTED) + NOTICE;
+/// Shuts down in stages before the kill: serves as before, then closes connections after their answers, then closes idle
+/// connections, and answers the remaining transactions. It accepts connections to the end, because the platform counts a
+/// connection that the kernel has accepted as accepted by the gateway.
+async fn shut_down(instance: &SharedInstance) {
+    let notice = instance.borrow().config.transport.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
     info!(notice, "stopping");
-    let began = Instant::now();
-    // Deadlines may be so short that some of this is due at once.
-    let before_kill = |left: f64| Timer::at(began + Duration::from_secs_f64((notice - left).max(0.0)));
-    before_kill(LEAVING).await;
-    run_turn(instance, |this| this.stop(ShutdownStage::Draining));
-    before_kill(CLOSING).await;
-    let answered = async {
+    let started = Instant::now();
+    // With short deadlines the first stages begin at once.
+    let before_kill = |lead: f64| Timer::at(started + Duration::from_secs_f64((notice - lead).max(0.0)));
+    before_kill(DRAIN_LEAD).await;
+    run_turn(instance, |this| this.advance_shutdown(ShutdownStage::Draining));
+    before_kill(CLOSE_IDLE_LEAD).await;
+    let quiescent = async {
         loop {
-            run_turn(instance, |this| this.stop(ShutdownStage::ClosingIdle));
+            run_turn(instance, |this| this.advance_shutdown(ShutdownStage::ClosingIdle));
             Timer::after(Duration::from_millis(5)).await;
-            // What the reactor woke with us goes first: a connection that waited in the backlog among it.
+            // Other tasks that are ready run first, such as the accept of a connection in the backlog.
             yield_now().await;
             yield_now().await;
-            if began.elapsed().as_secs_f64() >= COMING && instance.borrow().nothing_left() {
+            if started.elapsed().as_secs_f64() >= MIN_SHUTDOWN_TIME && instance.borrow().is_quiescent() {
                 break;
             }
         }
     };
-    let ended = async {
-        before_kill(END).await;
-        run_turn(instance, |this| this.stop(ShutdownStage::Terminating));
-        Timer::after(Duration::from_secs_f64(LAST_WRITES)).await;
+    let terminated = async {
+        before_kill(TERMINATE_LEAD).await;
+        run_turn(instance, |this| this.advance_shutdown(ShutdownStage::Terminating));
+        Timer::after(Duration::from_secs_f64(LAST_WRITES_TIME)).await;
     };
-    answered.or(ended).await;
-    log(instance);
+    quiescent.or(terminated).await;
+    log_counts(instance);
 }
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -1,7 +1,8 @@
-//! The way to the nodes: connections kept, and one task for each shot.
+//! Connections to the nodes: a pool of idle connections for each node, and one task for each shot.
 //!
-//! A connection carries one request at a time, and the latest used goes first, as a fresh one costs the node
-//! work. Before each use it is looked at: one that has ended, or that holds bytes nobody asked for, is closed.
+//! A connection carries one request at a time. The most recently used connection of a pool is reused first; a fresh
+//! connection costs the node work. A connection is checked before each use: one that has ended, or that holds unrequested
+//! bytes, is closed.
 
 use std::cell::Cell;
 use std::io::{self, Read, Write};
@@ -15,38 +16,39 @@
 use quaypath_initiator::event_loop::{read_some, run_turn, unread_bytes, with_timeout, Driver, Received};
 use quaypath_initiator::outcome::Progress;
 
-use crate::decode::{self, Told};
-use crate::front::Answer;
-use crate::idle_reuse::SHORTEST_REST;
-use crate::instance::{Message, Node, Permit, Shot, Weakly};
-use crate::outcome::Ended;
-use crate::READ;
+use crate::front::FinalAnswer;
+use crate::headers::{self, NodeReport};
+use crate::idle_reuse::MIN_IDLE_TIME;
+use crate::instance::{ForwardedRequest, MemoryPermit, Node, Shot, WeakInstance};
+use crate::outcome::ShotEnd;
+use crate::MAX_READ_BYTES;
 
-/// ResponsePart of the node's idle time after which we close first.
-const IDLE_PART: f64 = 0.8;
+/// The gateway closes an idle connection after this share of the node's idle timeout, before the node closes it.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// What is still read of an answer once its time is up takes so long at most, seconds: a final answer counts as lost half
-/// a second behind its time.
-const LAST_LOOK: f64 = 0.1;
+/// Longest time for reading what remains of a response after the timeout of its shot, seconds. A final answer counts as
+/// lost half a second after its time.
+const LAST_READ_TIMEOUT: f64 = 0.1;
 
-/// A connection to a node, counted while it is kept.
+/// A connection to a node. It is counted in the number of all connections to nodes until it is dropped.
 pub struct UpstreamConnection {
     stream: Async<TcpStream>,
-    all: Rc<Cell<usize>>,
-    /// The node's address and start when it was opened.
-    life: (SocketAddr, f64),
-    /// How long it rested before its present use; absent on its first.
-    rest: Option<f64>,
+    /// Number of connections to all nodes.
+    count: Rc<Cell<usize>>,
+    /// The node's incarnation when the connection was opened.
+    incarnation: (SocketAddr, f64),
+    /// How long it was idle before its current use, seconds; `None` for the first use.
+    idle_time: Option<f64>,
 }
 
 impl UpstreamConnection {
-    fn new(stream: Async<TcpStream>, life: (SocketAddr, f64), all: Rc<Cell<usize>>) -> Self {
-        all.set(all.get() + 1);
-        UpstreamConnection { stream, life, all, rest: None }
+    fn new(stream: Async<TcpStream>, incarnation: (SocketAddr, f64), count: Rc<Cell<usize>>) -> Self {
+        count.set(count.get() + 1);
+        UpstreamConnection { stream, incarnation, count, idle_time: None }
     }
 
-    /// Whether it stands and holds nothing to be read.
-    fn clean(&self) -> bool {
+    /// Whether it is open and has no bytes to read.
+    fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.get_ref().read(&mut byte);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -55,15 +57,16 @@
 
 impl Drop for UpstreamConnection {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - 1);
+        self.count.set(self.count.get() - 1);
     }
 }
 
-/// Idle connections to one node, the latest used last.
+/// Idle connections to one node with the time since when each is idle; the most recently used is last.
 #[derive(Default)]
 pub struct Pool(Vec<(f64, UpstreamConnection)>);
 
 impl Pool {
+    /// Closes all idle connections.
     pub fn clear(&mut self) {
         self.0.clear();
     }
@@ -76,19 +79,19 @@
         self.0.push((now, upstream));
     }
 
-    /// The latest used that has rested, for no longer than goes well, and is clean; those that are not are closed,
-    /// and counted.
-    fn get(&mut self, now: f64, longest: f64, stale: &mut u64) -> Option<UpstreamConnection> {
-        let mut at = self.0.len();
-        while at > 0 {
-            at -= 1;
-            let rest = now - self.0[at].0;
-            if rest < SHORTEST_REST {
+    /// Takes the most recently used connection that was idle long enough, not longer than `max_idle_time` seconds, and is
+    /// clean. Connections that were idle for too long or are not clean are closed and counted in `stale`.
+    fn get(&mut self, now: f64, max_idle_time: f64, stale: &mut u64) -> Option<UpstreamConnection> {
+        let mut index = self.0.len();
+        while index > 0 {
+            index -= 1;
+            let idle_time = now - self.0[index].0;
+            if idle_time < MIN_IDLE_TIME {
                 continue;
             }
-            let (_, mut upstream) = self.0.remove(at);
-            upstream.rest = Some(rest);
-            if rest < longest && upstream.clean() {
+            let (_, mut upstream) = self.0.remove(index);
+            upstream.idle_time = Some(idle_time);
+            if idle_time < max_idle_time && upstream.is_clean() {
                 return Some(upstream);
             }
             *stale += 1;
@@ -96,102 +99,111 @@
         None
     }
 
-    /// Closes what the node would close soon, and what it has closed.
-    pub fn sweep(&mut self, now: f64, idle: f64) {
-        self.0.retain(|(since, upstream)| now - since < IDLE_PART * idle && upstream.clean());
+    /// Closes connections that the node has closed, or is about to close after its idle timeout of `idle_timeout` seconds.
+    pub fn sweep(&mut self, now: f64, idle_timeout: f64) {
+        self.0.retain(|(idle_since, upstream)| {
+            now - idle_since < IDLE_TIMEOUT_SHARE * idle_timeout && upstream.is_clean()
+        });
     }
 
     fn oldest(&self) -> Option<f64> {
-        self.0.first().map(|(since, _)| *since)
+        self.0.first().map(|(idle_since, _)| *idle_since)
     }
 }
 
-/// Closes the connection that is idle for longest, at whatever node.
-fn make_room(nodes: &mut std::collections::BTreeMap<quaypath::types::NodeId, Node>) -> bool {
+/// Closes the connection that is idle for longest among the pools of all nodes; false if there is none.
+fn close_oldest_idle(nodes: &mut std::collections::BTreeMap<quaypath::types::NodeId, Node>) -> bool {
     let oldest = nodes.values_mut().filter(|node| node.pool.oldest().is_some());
-    let oldest = oldest.min_by(|one, other| one.pool.oldest().partial_cmp(&other.pool.oldest()).unwrap());
+    let oldest = oldest.min_by(|left, right| left.pool.oldest().partial_cmp(&right.pool.oldest()).unwrap());
     oldest.map(|node| node.pool.0.remove(0)).is_some()
 }
 
-/// An answer as it comes in.
-struct Incoming {
+/// A response that is being received.
+struct IncomingResponse {
     decoder: ResponseDecoder,
     head: Option<ResponseHead>,
     body: Vec<u8>,
-    whole: bool,
-    held: Permit,
+    complete: bool,
+    /// Memory of the body.
+    memory: MemoryPermit,
 }
 
-impl Incoming {
-    /// Takes what has come; true once the answer is whole.
-    fn take(&mut self, bytes: &[u8]) -> Result<bool, DecodeError> {
+impl IncomingResponse {
+    /// Decodes received bytes; true once the response is complete.
+    fn receive(&mut self, bytes: &[u8]) -> Result<bool, DecodeError> {
         self.decoder.feed(bytes);
         while let Some(part) = self.decoder.poll()? {
             match part {
                 ResponsePart::Head(head) => self.head = Some(head),
-                ResponsePart::Body(more) if self.held.grow(more.len()) => self.body.extend_from_slice(&more),
+                ResponsePart::Body(bytes) if self.memory.try_grow(bytes.len()) => {
+                    self.body.extend_from_slice(&bytes)
+                }
                 ResponsePart::Body(_) => {
-                    return Err(DecodeError { status: 502, reason: "no room for the answer" })
+                    return Err(DecodeError { status: 502, reason: "no memory left for the response" })
                 }
-                ResponsePart::End => self.whole = true,
+                ResponsePart::End => self.complete = true,
             }
         }
-        Ok(self.whole)
+        Ok(self.complete)
     }
 
-    /// The node has ended its sending in order: where that is how the answer ends, it is whole.
+    /// Records that the node has closed its side of the connection in order; true if the response is complete.
     fn finish(&mut self) -> bool {
-        self.whole |= self.decoder.finish().is_some();
-        self.whole
+        self.complete |= self.decoder.finish().is_some();
+        self.complete
     }
 
-    /// Whether the connection can be used once more.
-    fn reusable(&self) -> bool {
-        self.whole && self.decoder.trailing_bytes() == 0 && self.head.as_ref().is_some_and(|head| !head.close)
+    /// Whether the connection can be used for another request.
+    fn is_reusable(&self) -> bool {
+        self.complete
+            && self.decoder.trailing_bytes() == 0
+            && self.head.as_ref().is_some_and(|head| !head.close)
     }
 }
 
-/// A connection for a shot: one of the pool, or a fresh one within the connect time-out.
-async fn connection(instance: &Weakly, shot: &Shot) -> Option<UpstreamConnection> {
-    let (fresh, wait, life, all) = {
+/// A connection for a shot: one from the pool, or a fresh one within the connect timeout.
+async fn connection(instance: &WeakInstance, shot: &Shot) -> Option<UpstreamConnection> {
+    let (connecting, timeout, incarnation, count) = {
         let this = instance.upgrade()?;
         let mut this = this.borrow_mut();
         let this = &mut *this;
         let now = this.clock_now();
-        let longest = this.idle_reuse.longest(now);
+        let max_idle_time = this.idle_reuse.max_idle_time(now);
         let node = this.nodes.get_mut(&shot.node)?;
-        if let Some(upstream) = node.pool.get(now, longest, &mut this.counts.stale) {
+        if let Some(upstream) = node.pool.get(now, max_idle_time, &mut this.counts.stale) {
             return Some(upstream);
         }
-        let life = node.life();
-        if this.upstream_connections.get() >= this.most_upstream_connections && !make_room(&mut this.nodes) {
+        let incarnation = node.incarnation();
+        if this.upstream_connections.get() >= this.max_upstream_connections
+            && !close_oldest_idle(&mut this.nodes)
+        {
             return None;
         }
         this.counts.connects += 1;
         (
-            Async::<TcpStream>::connect(life.0),
-            this.config.waits.connect,
-            life,
+            Async::<TcpStream>::connect(incarnation.0),
+            this.config.transport.connect_timeout,
+            incarnation,
             this.upstream_connections.clone(),
         )
     };
-    let stream = with_timeout(wait, fresh).await;
+    let stream = with_timeout(timeout, connecting).await;
     let this = instance.upgrade()?;
     let mut this = this.borrow_mut();
     match stream {
         Ok(stream) => {
             let _ = stream.get_ref().set_nodelay(true);
-            Some(UpstreamConnection::new(stream, life, all))
+            Some(UpstreamConnection::new(stream, incarnation, count))
         }
         Err(error) => {
             this.counts.connects_failed += 1;
-            tracing::debug!(node = %shot.node.0, %error, "no connection");
+            tracing::debug!(node = %shot.node.0, %error, "cannot connect to the node");
             None
         }
     }
 }
 
-/// Writes the request, in one piece where the kernel takes it.
+/// Writes the request, with one call if the kernel accepts all of it.
 async fn write(upstream: &UpstreamConnection, shot: &Shot, bytes: &[u8]) -> io::Result<()> {
     let mut sent = 0;
     while sent < bytes.len() {
@@ -200,7 +212,7 @@
             Ok(count) => {
                 sent += count;
                 if shot.progress() < Progress::PartlySent {
-                    shot.to(Progress::PartlySent);
+                    shot.advance_to(Progress::PartlySent);
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => upstream.stream.writable().await?,
@@ -208,113 +220,125 @@
             Err(error) => return Err(error),
         }
     }
-    shot.to(Progress::Sent);
+    shot.advance_to(Progress::Sent);
     Ok(())
 }
 
-/// Carries a shot to its end, whatever that is.
-async fn fly(
-    instance: &Weakly, shot: &Shot, message: &Message, used: &mut Option<UpstreamConnection>,
-    incoming: &mut Incoming,
-) -> Ended {
-    let Some(upstream) = connection(instance, shot).await else { return Ended::Lost };
+/// Sends a shot on a connection, which is put into `used`, and receives its response into `incoming`.
+async fn send_and_receive(
+    instance: &WeakInstance, shot: &Shot, request: &ForwardedRequest, used: &mut Option<UpstreamConnection>,
+    incoming: &mut IncomingResponse,
+) -> ShotEnd {
+    let Some(upstream) = connection(instance, shot).await else { return ShotEnd::ConnectionLost };
     let upstream = used.insert(upstream);
     let bytes = {
-        let Some(this) = instance.upgrade() else { return Ended::Lost };
-        // The node may have been listed as draining, gone, moved or started anew while its connection came up.
-        let (now, shut, life) = run_turn(&this, |this| {
-            (this.now, this.shut(&shot.node), this.nodes.get(&shot.node).map(Node::life))
+        let Some(this) = instance.upgrade() else { return ShotEnd::ConnectionLost };
+        // While the connection was established, the node may have been listed as draining or removed, or may have moved or
+        // restarted.
+        let (now, closed, incarnation) = run_turn(&this, |this| {
+            (this.now, this.is_closed(&shot.node), this.nodes.get(&shot.node).map(Node::incarnation))
         });
-        if shut || life != Some(upstream.life) {
-            return Ended::Lost;
+        if closed || incarnation != Some(upstream.incarnation) {
+            return ShotEnd::ConnectionLost;
         }
-        shot.to(Progress::Queued);
-        decode::shot(&message.head, &message.body, shot.stop_at - now)
+        shot.advance_to(Progress::Queued);
+        headers::encode_shot(&request.head, &request.body, shot.stop_at - now)
     };
     let writing = async {
         match write(upstream, shot, &bytes).await {
             Ok(()) => pending().await,
-            Err(_) => Ended::Lost,
+            Err(_) => ShotEnd::ConnectionLost,
         }
     };
-    // An answer may come before the request's last byte: it ends the shot all the same.
+    // A response may arrive before the request is fully sent. It ends the shot as well.
     let reading = async {
         loop {
-            match read_some(&upstream.stream, READ, |bytes| incoming.take(bytes)).await {
+            match read_some(&upstream.stream, MAX_READ_BYTES, |bytes| incoming.receive(bytes)).await {
                 Ok(Received::Bytes(Ok(false))) => {}
-                Ok(Received::Bytes(Ok(true))) => return answered(incoming),
-                Ok(Received::Bytes(Err(_))) => return Ended::Spoilt,
-                Ok(Received::End) if incoming.finish() => return answered(incoming),
-                Ok(Received::End) | Err(_) => return Ended::Lost,
+                Ok(Received::Bytes(Ok(true))) => return end_of_response(incoming),
+                Ok(Received::Bytes(Err(_))) => return ShotEnd::InvalidResponse,
+                Ok(Received::End) if incoming.finish() => return end_of_response(incoming),
+                Ok(Received::End) | Err(_) => return ShotEnd::ConnectionLost,
             }
         }
     };
     writing.or(reading).await
 }
 
-fn answered(incoming: &Incoming) -> Ended {
-    let Some(head) = &incoming.head else { return Ended::Spoilt };
-    Ended::Answered(head.status, head.headers.single("x-not-processed") == Some("1"))
+fn end_of_response(incoming: &IncomingResponse) -> ShotEnd {
+    let Some(head) = &incoming.head else { return ShotEnd::InvalidResponse };
+    ShotEnd::Answered(head.status, head.headers.single("x-not-processed") == Some("1"))
 }
 
-/// Reads what had come and was not read yet when the time was up: a standstill of ours is not the node's. What comes from
-/// then on is late, and a node that sends without end must not keep the loop, so it ends with the bytes that the kernel
-/// held at that moment; their number is the socket's buffer at most, and others have their turns between the reads.
-async fn last_look(upstream: &UpstreamConnection, incoming: &mut Incoming) -> Option<Ended> {
-    let mut left = unread_bytes(upstream.stream.get_ref()).ok()?;
-    while left > 0 {
-        let take = |bytes: &[u8]| (bytes.len(), incoming.take(bytes));
-        match read_some(&upstream.stream, READ.min(left), take).await {
-            Ok(Received::Bytes((_, Ok(true)))) => return Some(answered(incoming)),
-            Ok(Received::Bytes((count, Ok(false)))) => left -= count,
+/// Reads what had arrived before the timeout of the shot and was not read yet, so that a stall of this process is not
+/// attributed to the node. What arrives from then on is late, and a node that sends without end must not occupy the event
+/// loop, so this reads only the number of bytes that the kernel held at that moment. The socket's buffer bounds that number,
+/// and other tasks run between the reads.
+async fn read_arrived(upstream: &UpstreamConnection, incoming: &mut IncomingResponse) -> Option<ShotEnd> {
+    let mut remaining = unread_bytes(upstream.stream.get_ref()).ok()?;
+    while remaining > 0 {
+        let receive = |bytes: &[u8]| (bytes.len(), incoming.receive(bytes));
+        match read_some(&upstream.stream, MAX_READ_BYTES.min(remaining), receive).await {
+            Ok(Received::Bytes((_, Ok(true)))) => return Some(end_of_response(incoming)),
+            Ok(Received::Bytes((count, Ok(false)))) => remaining -= count,
             _ => return None,
         }
     }
-    let ended = matches!(upstream.stream.get_ref().peek(&mut [0]), Ok(0));
-    (ended && incoming.finish()).then(|| answered(incoming))
+    let closed = matches!(upstream.stream.get_ref().peek(&mut [0]), Ok(0));
+    (closed && incoming.finish()).then(|| end_of_response(incoming))
 }
 
-/// The last look, for as long as that may hold up the final answer.
-async fn looked(upstream: Option<&UpstreamConnection>, incoming: &mut Incoming) -> Option<Ended> {
+/// Reads what had arrived, for as long as that may delay the final answer.
+async fn read_arrived_in_time(
+    upstream: Option<&UpstreamConnection>, incoming: &mut IncomingResponse,
+) -> Option<ShotEnd> {
     let upstream = upstream?;
-    with_timeout(LAST_LOOK, async { Ok(last_look(upstream, incoming).await) }).await.ok().flatten()
+    with_timeout(LAST_READ_TIMEOUT, async { Ok(read_arrived(upstream, incoming).await) }).await.ok().flatten()
 }
 
-/// The task of one shot.
-pub async fn shoot(instance: Weakly, shot: Rc<Shot>, message: Rc<Message>) {
-    let Some((room, most)) = instance.upgrade().map(|this| this.borrow().answers()) else { return };
-    let (decoder, held) = (ResponseDecoder::new(most), room.hold(0));
-    let mut incoming = Incoming { decoder, head: None, body: Vec::new(), whole: false, held };
+/// The task of one shot: sends it, receives the response and reports the outcome to the instance.
+pub async fn run_shot(instance: WeakInstance, shot: Rc<Shot>, request: Rc<ForwardedRequest>) {
+    let Some((budget, max_body)) = instance.upgrade().map(|this| this.borrow().response_memory()) else {
+        return;
+    };
+    let (decoder, memory) = (ResponseDecoder::new(max_body), budget.acquire(0));
+    let mut incoming = IncomingResponse { decoder, head: None, body: Vec::new(), complete: false, memory };
     let mut used = None;
-    // What ends it from this side goes first: nothing is begun for a client that has gone by now.
-    let mut ended = shot.ended().or(fly(&instance, &shot, &message, &mut used, &mut incoming)).await;
-    if ended == Ended::TimeUp && shot.progress() == Progress::Sent {
-        ended = looked(used.as_ref(), &mut incoming).await.unwrap_or(ended);
+    // An end from this side is checked first, so that nothing is sent for a client that has disconnected.
+    let mut end =
+        shot.ended().or(send_and_receive(&instance, &shot, &request, &mut used, &mut incoming)).await;
+    if end == ShotEnd::TimedOut && shot.progress() == Progress::Sent {
+        end = read_arrived_in_time(used.as_ref(), &mut incoming).await.unwrap_or(end);
     }
     let Some(this) = instance.upgrade() else { return };
-    let rested = used.as_ref().and_then(|upstream| upstream.rest);
-    let lost = ended == Ended::Lost && incoming.head.is_none();
-    // Closed, or back in the pool, before the core may send again.
-    let whole = matches!(ended, Ended::Answered(..)) && shot.progress() == Progress::Sent;
-    let upstream = used.take().filter(|_| whole && incoming.reusable());
-    let (told, answer) = match incoming.head.take().filter(|_| incoming.whole) {
+    let idle_time = used.as_ref().and_then(|upstream| upstream.idle_time);
+    let lost = end == ShotEnd::ConnectionLost && incoming.head.is_none();
+    // The connection is closed, or returned to the pool, before the core may send again.
+    let answered = matches!(end, ShotEnd::Answered(..)) && shot.progress() == Progress::Sent;
+    let upstream = used.take().filter(|_| answered && incoming.is_reusable());
+    let (report, answer) = match incoming.head.take().filter(|_| incoming.complete) {
         Some(head) => {
-            let told = decode::told(&head.headers, &this.borrow().config.waits.load);
-            let kind = head.headers.single("content-type").map(String::from);
-            (told, Some(Answer::Settled(kind, std::mem::take(&mut incoming.body), incoming.held)))
+            let report =
+                headers::decode_node_report(&head.headers, &this.borrow().config.transport.load_fields);
+            let content_type = head.headers.single("content-type").map(String::from);
+            (
+                report,
+                Some(FinalAnswer::Settled(content_type, std::mem::take(&mut incoming.body), incoming.memory)),
+            )
         }
-        None => (Told::default(), None),
+        None => (NodeReport::default(), None),
     };
     run_turn(&this, |this| {
         let now = this.now;
-        rested.into_iter().for_each(|rest| this.idle_reuse.note(now, rest, lost));
-        let shut = this.shut(&shot.node);
-        // A node that moved or was started anew meanwhile has no use for it, nor one that drains.
-        let node = this.nodes.get_mut(&shot.node).filter(|node| !shut && !node.drains());
-        let known = node.zip(upstream).filter(|(node, upstream)| upstream.life == node.life());
-        if let Some((node, upstream)) = known {
+        idle_time.into_iter().for_each(|idle_time| this.idle_reuse.record(now, idle_time, lost));
+        let closed = this.is_closed(&shot.node);
+        // The connection is not pooled if the node moved, restarted or drains.
+        let node = this.nodes.get_mut(&shot.node).filter(|node| !closed && !node.is_draining());
+        let poolable =
+            node.zip(upstream).filter(|(node, upstream)| upstream.incarnation == node.incarnation());
+        if let Some((node, upstream)) = poolable {
             node.pool.put(now, upstream);
         }
-        this.returned(&shot, ended, told, answer);
+        this.shot_completed(&shot, end, report, answer);
     });
 }
--- a/crates/platform/tests/idle_reuse.rs
+++ b/crates/platform/tests/idle_reuse.rs
@@ -1,22 +1,22 @@
-//! Which rest is the longest that a connection may have before it is used again.
+//! The longest idle time after which a connection is reused.
 
 use quaypath_platform::idle_reuse::IdleReuse;
 use test_case::test_case;
 
-/// Of each ten uses so many were lost, by the rest before: which rest is the longest that is used.
-#[test_case(&[], f64::INFINITY; "nothing known")]
-#[test_case(&[(0.002, 0), (0.5, 0)], f64::INFINITY; "all went well")]
-#[test_case(&[(0.003, 1), (0.02, 0), (0.2, 1)], f64::INFINITY; "a few lost after any rest: no reason to rest less")]
-#[test_case(&[(0.003, 0), (0.02, 0), (0.2, 4), (0.5, 5)], 0.128; "lost after long rests")]
-fn rests(uses: &[(f64, usize)], longest: f64) {
-    let mut rests = IdleReuse::default();
-    for (rest, lost) in uses {
-        for at in 0..100 {
-            rests.note(10.0, *rest, at % 10 < *lost);
+/// Each case lists idle times with the number of requests lost in every ten uses, and the expected longest idle time.
+#[test_case(&[], f64::INFINITY; "no uses recorded")]
+#[test_case(&[(0.002, 0), (0.5, 0)], f64::INFINITY; "no losses")]
+#[test_case(&[(0.003, 1), (0.02, 0), (0.2, 1)], f64::INFINITY; "a few losses after any idle time do not limit it")]
+#[test_case(&[(0.003, 0), (0.02, 0), (0.2, 4), (0.5, 5)], 0.128; "losses after long idle times")]
+fn the_longest_idle_time_follows_the_losses(uses: &[(f64, usize)], expected: f64) {
+    let mut statistics = IdleReuse::default();
+    for (idle_time, lost_in_ten) in uses {
+        for number in 0..100 {
+            statistics.record(10.0, *idle_time, number % 10 < *lost_in_ten);
         }
     }
-    let found = rests.longest(10.0);
-    assert!(found == longest || (found - longest).abs() < 1e-9, "{found}");
-    // What was long ago says nothing.
-    assert_eq!(rests.longest(40.0), f64::INFINITY);
+    let longest = statistics.max_idle_time(10.0);
+    assert!(longest == expected || (longest - expected).abs() < 1e-9, "{longest}");
+    // Losses that are longer ago than the statistics reach have no effect.
+    assert_eq!(statistics.max_idle_time(40.0), f64::INFINITY);
 }
