--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -159,7 +159,7 @@
                     Ok(config) => {
                         source += 1;
                         this.borrow_mut().newest_source = source;
-                        info!(discovery = %config.discovery, "configuration read anew");
+                        info!(discovery = %config.discovery, "configuration reloaded");
                         // The previous address stays in use until the new one has sent its whole list.
                         let watch = discovery::watch_loop(instance.clone(), config.discovery, source);
                         spawn(&executor, TaskKind::Discovery, Peer::Address(config.discovery), watch);
--- a/crates/programs/tests/crossings.rs
+++ b/crates/programs/tests/crossings.rs
@@ -809,7 +809,7 @@
     // Refuses.
     let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     moves(dead);
-    until("it was read", || gateway.logged(&format!("configuration read anew discovery={dead}")));
+    until("it was read", || gateway.logged(&format!("configuration reloaded discovery={dead}")));
     // The old one is heard until another has told its list.
     watch.piece(&format!(
         "{}\n",
