--- a/crates/initiator/src/outcome.rs
+++ b/crates/initiator/src/outcome.rs
@@ -51,11 +51,11 @@
     match end {
         ShotEnd::Answered(status) => outcome_of_status(status),
         // No byte was sent before the time limit.
-        ShotEnd::TimedOut if !progress.may_have_run() => Outcome::Moot,
+        ShotEnd::TimedOut if !progress.may_have_run() => Outcome::Abandoned,
         // The node may still run the shot, or has run it and its answer is late.
         ShotEnd::TimedOut => Outcome::TimedOut,
         // The shot was withdrawn from the queue of this gateway.
-        ShotEnd::Cancelled if !progress.may_have_run() => Outcome::Moot,
+        ShotEnd::Cancelled if !progress.may_have_run() => Outcome::Abandoned,
         // An Abort is only a request: the node may have run the shot before, or may run it nevertheless.
         ShotEnd::Cancelled => Outcome::Cancelled,
         // There was no connection, or it ended before the first byte: the node is down, unreachable or out of
@@ -74,10 +74,10 @@
         status::COMPARE_FAILURE => Outcome::Settled,
         // Quaypath targets refuse a command unprocessed with these vendor-specific codes, which no other target sends
         // by chance.
-        status::FULL | status::DRAINING => Outcome::Full,
+        status::FULL | status::DRAINING => Outcome::QueueFull,
         // By the Base Specification, Command Interrupted and Namespace Not Ready guarantee that nothing was done and
         // that a retry may succeed.
-        status::INTERRUPTED | status::NAMESPACE_NOT_READY => Outcome::Full,
+        status::INTERRUPTED | status::NAMESPACE_NOT_READY => Outcome::QueueFull,
         // Aborted on request of this gateway, or because its queue was deleted: the command may have been running.
         status::ABORTED_BY_REQUEST | status::ABORTED_QUEUE_DELETED => Outcome::Cancelled,
         // All other statuses, among them refusals of a field: a target need not check the fields before it begins, and
@@ -96,17 +96,17 @@
     #[test_case(ShotEnd::ConnectionLost, Queued, Outcome::Unreachable; "reset before the first byte")]
     #[test_case(ShotEnd::ConnectionLost, PartlySent, Outcome::Reset; "partly written")]
     #[test_case(ShotEnd::ConnectionLost, Sent, Outcome::Reset; "written and then reset")]
-    #[test_case(ShotEnd::TimedOut, Queued, Outcome::Moot; "timed out in the queue of the gateway")]
+    #[test_case(ShotEnd::TimedOut, Queued, Outcome::Abandoned; "timed out in the queue of the gateway")]
     #[test_case(ShotEnd::TimedOut, PartlySent, Outcome::TimedOut; "timed out when partly sent")]
     #[test_case(ShotEnd::TimedOut, Sent, Outcome::TimedOut; "timed out")]
-    #[test_case(ShotEnd::Cancelled, Connecting, Outcome::Moot; "cancelled unsent")]
+    #[test_case(ShotEnd::Cancelled, Connecting, Outcome::Abandoned; "cancelled unsent")]
     #[test_case(ShotEnd::Cancelled, Sent, Outcome::Cancelled; "cancelled")]
     #[test_case(ShotEnd::Answered(status::SUCCESS), Sent, Outcome::Settled; "settled")]
     #[test_case(ShotEnd::Answered(status::COMPARE_FAILURE), Sent, Outcome::Settled; "a Compare that found a difference")]
     #[test_case(ShotEnd::Answered(status::TRANSPORT_ERROR), Sent, Outcome::Failed; "data corrupted in transit")]
-    #[test_case(ShotEnd::Answered(status::FULL), Sent, Outcome::Full; "full")]
-    #[test_case(ShotEnd::Answered(status::DRAINING | status::CRD1), Sent, Outcome::Full; "draining, with a retry delay")]
-    #[test_case(ShotEnd::Answered(status::INTERRUPTED), Sent, Outcome::Full; "interrupted")]
+    #[test_case(ShotEnd::Answered(status::FULL), Sent, Outcome::QueueFull; "full")]
+    #[test_case(ShotEnd::Answered(status::DRAINING | status::CRD1), Sent, Outcome::QueueFull; "draining, with a retry delay")]
+    #[test_case(ShotEnd::Answered(status::INTERRUPTED), Sent, Outcome::QueueFull; "interrupted")]
     #[test_case(ShotEnd::Answered(status::ABORTED_BY_REQUEST), Sent, Outcome::Cancelled; "aborted")]
     #[test_case(ShotEnd::Answered(status::INTERNAL_ERROR), Sent, Outcome::Failed; "internal error")]
     #[test_case(ShotEnd::Answered(status::INVALID_FIELD | status::DNR), Sent, Outcome::Failed; "invalid field")]
--- a/crates/initiator/src/peer_signals.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use quaypath::types::{Account, Need, Shared};
+use quaypath::types::{LimitBalance, LimitId, PeerReport};
 use quaypath_fleet::lending::Ledger;
 use quaypath_fleet::signal::{NodeReport, SignalHost, Signals};
 use quaypath_fleet::MemberId;
@@ -66,11 +66,11 @@
 }
 
 impl Ledger for CoreLedger<'_> {
-    fn limit_balances(&mut self, now: f64) -> Vec<Need> {
+    fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
         self.core.needs(now)
     }
-    fn transfer(&mut self, now: f64, account: Account, units: f64, until: f64) -> bool {
-        self.core.shared(now, Shared::Units(account, units, until), self.actions)
+    fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
+        self.core.shared(now, PeerReport::Units(account, units, until), self.actions)
     }
 }
 
@@ -82,6 +82,6 @@
     }
     fn node_report_received(&mut self, now: f64, report: &NodeReport) {
         let NodeReport { block, latency_ratio, answers, age } = *report;
-        self.core.shared(now, Shared::Stay(block, latency_ratio, answers, age), self.actions);
+        self.core.shared(now, PeerReport::Latency(block, latency_ratio, answers, age), self.actions);
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -155,7 +155,7 @@
         // the connect timeout, so the core uses a window that is shorter by this time.
         core.bands
             .iter_mut()
-            .for_each(|band| band.window = (band.window - transport.connect_timeout).max(0.0));
+            .for_each(|band| band.dedup_window = (band.dedup_window - transport.connect_timeout).max(0.0));
         Ok(Config {
             path: path.into(),
             name: text_entry("name", "BALANCER_NAME")?,
--- a/crates/platform/src/idle_reuse.rs
+++ b/crates/platform/src/idle_reuse.rs
@@ -1,6 +1,6 @@
 //! Decides which idle connections to nodes may be reused, by how reused connections with the same idle time fared.
 
-use quaypath::ring::Ring;
+use quaypath::sliding_window::SlidingWindow;
 
 /// How long a connection must be idle after a response before it is reused, seconds. A node may send a second response to
 /// the same request, some milliseconds late, and later if it is busy. Nothing in a response identifies its request, so a
@@ -21,11 +21,11 @@
 
 /// Statistics of reused connections over the last 15 s: for each class of idle times the share of uses that lost the
 /// request.
-pub struct IdleReuse(Vec<Ring>);
+pub struct IdleReuse(Vec<SlidingWindow>);
 
 impl Default for IdleReuse {
     fn default() -> Self {
-        IdleReuse(vec![Ring::new(3.0, 5); CLASSES])
+        IdleReuse(vec![SlidingWindow::new(3.0, 5); CLASSES])
     }
 }
 
@@ -38,8 +38,10 @@
 
     /// The idle time from which on a connection is not reused, seconds.
     pub fn max_idle_time(&mut self, now: f64) -> f64 {
-        let first_lossy =
-            self.0.iter_mut().position(|class| class.blend(now, 0.0, ASSUMED_SUCCESSES) > MAX_LOST_SHARE);
+        let first_lossy = self
+            .0
+            .iter_mut()
+            .position(|class| class.mean_with_prior(now, 0.0, ASSUMED_SUCCESSES) > MAX_LOST_SHARE);
         first_lossy.map_or(f64::INFINITY, |class| FIRST_CLASS_IDLE_TIME * f64::powi(2.0, class as i32))
     }
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -125,7 +125,7 @@
 
 /// An event for the core. Events are passed on in the order in which they occur.
 enum CoreEvent {
-    NodeList(ListScope, Vec<Listed>),
+    NodeList(ListKind, Vec<ListedNode>),
     TransactionReceived(u64),
     ShotCompleted(u64, u32, Outcome, NodeReport),
     ClientCancelled(u64),
@@ -446,7 +446,7 @@
         this.weak_self = Rc::downgrade(&instance);
         this.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
         let initial_list = std::mem::take(&mut this.config.initial_list);
-        this.apply_list(&initial_list, ListScope::Cached, false);
+        this.apply_list(&initial_list, ListKind::Cached, false);
         this.finish_turn();
         info!(
             name = this.config.name,
@@ -709,11 +709,15 @@
         }
         self.list_received |= listing.snapshot;
         self.list_index = listing.index;
-        self.apply_list(listing, if listing.snapshot { ListScope::Whole } else { ListScope::Changes }, older);
+        self.apply_list(
+            listing,
+            if listing.snapshot { ListKind::Complete } else { ListKind::Changes },
+            older,
+        );
         true
     }
 
-    fn apply_list(&mut self, listing: &Listing, scope: ListScope, older: bool) {
+    fn apply_list(&mut self, listing: &Listing, scope: ListKind, older: bool) {
         let now = self.now;
         self.removed_nodes.retain(|_, (_, removed_at)| now - *removed_at < REMOVED_NODE_RETENTION);
         let mut entries = Vec::new();
@@ -737,14 +741,14 @@
             let same_start = self.nodes.get(&name).filter(|node| node.started >= started);
             let condition = match endpoint.status {
                 Status::InService if older && same_start.is_some_and(Node::is_draining) => {
-                    Condition::Draining
+                    NodeCondition::Draining
                 }
-                Status::InService => Condition::Ready,
-                Status::Terminating => Condition::Draining,
-                Status::Terminated => Condition::Gone,
+                Status::InService => NodeCondition::Ready,
+                Status::Terminating => NodeCondition::Draining,
+                Status::Terminated => NodeCondition::Removed,
             };
             match condition {
-                Condition::Gone => self.remove_node(&name),
+                NodeCondition::Removed => self.remove_node(&name),
                 _ => {
                     self.removed_nodes.remove(&name);
                     let new_node = || Node { address, pool: Pool::default(), draining_since: None, started };
@@ -754,12 +758,12 @@
                         node.pool.clear();
                         (node.address, node.started) = (address, started);
                     }
-                    if condition == Condition::Ready {
+                    if condition == NodeCondition::Ready {
                         node.draining_since = None;
                     } else {
                         // Only a change says that the node drains from now on; a whole list may report a drain that began
                         // long ago.
-                        let since = if scope == ListScope::Changes { now } else { f64::NEG_INFINITY };
+                        let since = if scope == ListKind::Changes { now } else { f64::NEG_INFINITY };
                         node.draining_since.get_or_insert(since);
                         node.pool.clear();
                     }
@@ -767,7 +771,7 @@
             }
             entries.push((name, BlockId(endpoint.group), condition, started, endpoint.weight));
         }
-        if scope != ListScope::Changes {
+        if scope != ListKind::Changes {
             let listed: BTreeSet<&NodeId> = entries.iter().map(|(name, ..)| name).collect();
             let removed: Vec<NodeId> =
                 self.nodes.keys().filter(|name| !listed.contains(name)).cloned().collect();
@@ -916,11 +920,11 @@
     match outcome {
         Outcome::Settled => "settled",
         Outcome::Failed => "failed",
-        Outcome::Full => "full",
+        Outcome::QueueFull => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::Abandoned => "moot",
     }
 }
--- a/crates/platform/tests/headers_and_config.rs
+++ b/crates/platform/tests/headers_and_config.rs
@@ -80,7 +80,7 @@
     value["settings"]["Grades"][0]["Window"] = json!(0.1);
     value["settings"]["Grades"][1]["Window"] = json!(0.75);
     let config = Config::read(&write_config("window", &value), |_| None).expect("a valid configuration");
-    assert_eq!((config.core.bands[0].window, config.core.bands[1].window), (0.0, 0.5));
+    assert_eq!((config.core.bands[0].dedup_window, config.core.bands[1].dedup_window), (0.0, 0.5));
 }
 
 // Guards against invalid values of a client that reach the core, whose tables would grow with them, or a node.
@@ -186,7 +186,7 @@
         (0.25, 2.0, 4)
     );
     assert_eq!(config.transport.load_fields, ["lat_ms", "util"]);
-    assert!(config.core.tells_others && !config.core.metered && config.core.may_cancel);
+    assert!(config.core.reports_others_usage && !config.core.reports_usage && config.core.may_cancel);
 }
 
 /// An environment variable is used for an entry that the file does not have, and only for such an entry.
