--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -460,10 +460,10 @@
     fn pass_to_core(&mut self, event: CoreEvent) {
         let (now, out) = (self.now, &mut self.actions);
         match event {
-            CoreEvent::NodeList(scope, entries) => self.core.list_known(now, scope, &entries, out),
+            CoreEvent::NodeList(scope, entries) => self.core.node_list_received(now, scope, &entries, out),
             CoreEvent::TransactionReceived(id) => {
                 let Some(transaction) = self.open.get(&id) else { return };
-                self.core.taken(
+                self.core.transaction_received(
                     now,
                     TransactionId(id),
                     transaction.initiators,
@@ -486,7 +486,7 @@
                 let (id, latency) = (TransactionId(id), now - shot.sent_at);
                 let node = &shot.node;
                 let load = &report.load;
-                self.core.returned(
+                self.core.shot_completed(
                     now,
                     id,
                     node,
@@ -503,8 +503,8 @@
                     self.remove_transaction(id.0);
                 }
             }
-            CoreEvent::ClientCancelled(id) => self.core.lapsed(now, TransactionId(id), out),
-            CoreEvent::TimerFired(tag) => self.core.rang(now, tag, out),
+            CoreEvent::ClientCancelled(id) => self.core.client_cancelled(now, TransactionId(id), out),
+            CoreEvent::TimerFired(tag) => self.core.timer_fired(now, tag, out),
         }
     }
 
@@ -904,7 +904,7 @@
         (self.counts.open_transactions, self.counts.client_connections) =
             (self.open.len(), self.clients.len());
         self.counts.node_connections = self.upstream_connections.get();
-        (self.counts.volumes, self.counts.keys) = self.core.accounts();
+        (self.counts.volumes, self.counts.keys) = self.core.tracked_counts();
         self.counts.descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages = pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0);
