--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use clap::Parser;
-use quaypath_programs::{exit, say, Logs};
+use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{Clock, Writer};
 
 use quaypath_standins::model::Figures;
@@ -100,7 +100,7 @@
     };
     let listener =
         TcpListener::bind(arguments.listen).map_err(|error| format!("{}: {error}", arguments.listen))?;
-    say!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
+    print_line!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
     let (block, core) = (arguments.block, &deployment.core);
     let zone = zone_of(block, deployment.zones);
     let bands = deployment.book.bands.iter().map(|band| BandRule::of(band, &zone, block));
@@ -118,10 +118,10 @@
             flush_every: 2.0,
             queue: 50 * arguments.cores.max(1),
             start_capacity: core.start_capacity,
-            warm_after: core.cold_for,
-            fall_multiple: core.fall_multiple,
-            overload_for: core.overload_for,
-            young_units: core.young_units,
+            warm_after: core.warm_up,
+            fall_multiple: core.overload_multiple,
+            overload_for: core.overload_window,
+            young_units: core.cold_start_units,
             cancel_stops: true,
         },
         bands: bands.collect(),
@@ -150,6 +150,6 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let _logs = arguments.logs.start_apart();
-    exit("quaypath-target", start(arguments))
+    let _logs = arguments.logs.start_in_background();
+    exit_code("quaypath-target", start(arguments))
 }
