--- a/crates/initiator/src/peer_signals.rs
+++ b/crates/initiator/src/peer_signals.rs
@@ -30,8 +30,8 @@
         PeerSignals { signals, outgoing, outgoing_ready }
     }
 
-    /// Passes the core's observations to the signals and runs what is due. Returns the clock time, seconds, for which the
-    /// timer has to be set, if it changed.
+    /// Passes the core's observations to the signals and runs what is due. Returns the clock time, seconds, for which
+    /// the timer has to be set, if it changed.
     pub fn run_due(&mut self, now: f64, core: &mut dyn Core, actions: &mut Actions) -> Option<f64> {
         let observed = actions.1.as_mut().map(std::mem::take).unwrap_or_default();
         self.with_ledger(core, actions, |signals, ledger| signals.run_due(now, observed, ledger))
@@ -67,10 +67,10 @@
 
 impl Ledger for CoreLedger<'_> {
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
-        self.core.needs(now)
+        self.core.limit_balances(now)
     }
     fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
-        self.core.shared(now, PeerReport::Units(account, units, until), self.actions)
+        self.core.peer_report_received(now, PeerReport::Units(account, units, until), self.actions)
     }
 }
 
@@ -82,6 +82,10 @@
     }
     fn node_report_received(&mut self, now: f64, report: &NodeReport) {
         let NodeReport { block, latency_ratio, answers, age } = *report;
-        self.core.shared(now, PeerReport::Latency(block, latency_ratio, answers, age), self.actions);
+        self.core.peer_report_received(
+            now,
+            PeerReport::Latency(block, latency_ratio, answers, age),
+            self.actions,
+        );
     }
 }
