--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -323,11 +323,11 @@
     let listener =
         TcpListener::bind(arguments.gather.unwrap_or(any_port)).map_err(|error| error.to_string())?;
     let address = listener.local_addr().map_err(|error| error.to_string())?;
-    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
+    let own_program = std::env::current_exe().map_err(|error| error.to_string())?;
     let mut children = Vec::new();
     if arguments.gather.is_none() {
         for _ in 0..arguments.parts {
-            let mut command = Command::new(&own_path);
+            let mut command = Command::new(&own_program);
             command.arg("join").arg(&arguments.load).arg(address.to_string()).stdin(Stdio::null());
             children.push(command.spawn().map_err(|error| error.to_string())?);
         }
@@ -574,7 +574,7 @@
             print_line!("{text}");
             Ok(true)
         }),
-        Action::Knee(knee_arguments) => knee(knee_arguments),
+        Action::Knee(knee_of) => knee(knee_of),
         Action::Show { load, first } => show(load, *first),
     };
     exit_code("quaypath-load", finished)
--- a/crates/rules/tests/judged.rs
+++ b/crates/rules/tests/judged.rs
@@ -154,8 +154,8 @@
 #[test_case(0, 1.5, &[]; "a repeatable command is sent again after the node stopped")]
 #[test_case(1, 1.5, &[2]; "a once only command is sent again after the node stopped")]
 #[test_case(0, 1.15, &[2]; "a repeatable command is sent again before the node stopped")]
-fn a_stopped_node_ends_its_shots(band: usize, second_shot_at: f64, expected: &[u8]) {
-    let mut events = two_shots(band, FAILED, "n", second_shot_at);
+fn a_stopped_node_ends_its_shots(band: usize, sent_again_at: f64, expected: &[u8]) {
+    let mut events = two_shots(band, FAILED, "n", sent_again_at);
     events.retain(|event| !matches!(event, Event::ShotEnded { end: ShotEnd::Failed, .. }));
     events.push(Event::NodeStopped { t: 1.3, node: "n".into() });
     assert_eq!(broken_rules(events), expected);
