--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! quaypath: the decision core of a storage gateway. It knows no wire, clock or network of its own:
-//! events come in as calls on [`scheduler::Scheduler`], actions leave through [`types::Outbox`].
+//! quaypath: the decision core of a storage gateway. The core does no I/O and reads no clock: events arrive as
+//! method calls on [`scheduler::Scheduler`], and actions leave through [`types::Outbox`].
 
 pub mod scheduler;
 pub mod sliding_window;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! All decisions of one initiator. The caller makes a [`Scheduler`] with `Scheduler::start`, then calls one method
-//! for each event, in order, with the clock time `now`; what it wants done leaves through the `Outbox` in
-//! that same call. `types.rs`: ids, settings, actions; `state.rs`: what is remembered; the rest only adds up.
+//! All decisions of one initiator. The caller creates a [`Scheduler`] with [`Scheduler::start`] and then calls one
+//! method for each event, in order, with the clock time `now` in seconds. Actions leave through the [`Outbox`] within
+//! the same call. `types.rs` has identifiers, settings and actions; `state.rs` the state that is kept.
 
-#![allow(clippy::too_many_arguments)] // events come as plain arguments
+#![allow(clippy::too_many_arguments)] // events are passed as plain arguments
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,821 +13,1022 @@
 use crate::token_bucket::TokenBucket;
 use crate::types::*;
 
-/// The design's starting estimates: a random unit of work against the due time, a run against a random one.
-const RANDOM_PART: f64 = 1.0 / 8.0;
-const RUN_PART: f64 = 0.1;
-const RECENT: usize = 2; // extents remembered for the run test: other initiators push older ones out
-const MOST_OUT: f64 = 20.0; // the design's bound on shots out at one node for one initiator
-/// Mean share of the due time that a shot may spend at the node; the rest is for waiting here, where there is
-/// still a choice. Even one shot from each initiator can be a queue, so slack waits past the second figure
-/// and, over the volume's initiators, the third, by the fourth at most: a surge comes through all at once.
-/// Past the last the reserves wait too, or single shots keep a jam up without end.
-const NODE_PART: f64 = 0.1;
-const SLACK_PART: f64 = 0.15;
-const SLACK_ALONE: f64 = 1.0;
-const SLACK_MOST: f64 = 0.6;
-const RESERVE_PART: f64 = 1.2;
-/// A new object waits by this many mean stays of all nodes: it finds a quick one while what is fixed can't.
-const MOVABLE: f64 = 2.0;
-const FEW: f64 = 3.0; // seconds over which use is compared
-const LONG: f64 = 20.0; // seconds over which work at a node is averaged: at size it is one in ten seconds
-const HEARSAY: f64 = 0.5; // what another's answer counts: it is late, and may not be so
-const PRIOR: f64 = 3.0; // answers that a wider measure counts for where a narrower one has few
-/// Share of time-outs, at a node that is quick otherwise, that means lost answers; and the stays waited then.
-const LOSSY: f64 = 0.1;
-const STAYS: f64 = 4.0;
-/// Part of a cold node's budget that is claimed by what the node before settled; the rest is for chance.
-const EARLIER_PART: f64 = 0.85;
-const CROWDED: f64 = 3.0; // standard deviations by which a node may have more initiators than the mean node
-/// Part of the grace in which a draining node is still sent to; the rest is for news long on its way.
-const GRACE_PART: f64 = 0.6;
-const LOOK_AHEAD: usize = 16; // transactions of a line that are looked at, if those before have to wait
-const IDLE: f64 = 60.0; // seconds without use, at least, after which an account is let go
-const GAP_CLAMP: f64 = 3.0; // times what the node's pace makes likely, that a single gap counts at most
-
-/// Most measures forget after three seconds.
+/// Initial estimates: the node time of a mean transaction as a share of the shortest due time, and the time of a
+/// transaction on an extent accessed recently relative to one on any other extent.
+const INITIAL_DUE_SHARE: f64 = 1.0 / 8.0;
+const SEQUENTIAL_TIME_FACTOR: f64 = 0.1;
+/// Extents remembered as accessed recently. Other initiators evict older ones from the node.
+const RECENT_EXTENTS: usize = 2;
+/// Maximum number of shots in flight at one node from one initiator, if it has the node to itself.
+const MAX_IN_FLIGHT: f64 = 20.0;
+/// Latency at a node is measured as a ratio to the due time. The concurrency limit shrinks above LATENCY_TARGET, as
+/// the remaining time is better spent waiting here, where another choice is still possible. Even one shot from each
+/// initiator can form a queue, so slack (work beyond the reservations) waits above SLACK_LATENCY_BASE plus
+/// SLACK_LATENCY_ALONE divided by the number of the volume's initiators, at most SLACK_LATENCY_MAX, as a surge
+/// comes through all initiators at once. Above RESERVE_LATENCY_MAX work within the reservations waits too, as
+/// single shots would otherwise keep a jam up indefinitely.
+const LATENCY_TARGET: f64 = 0.1;
+const SLACK_LATENCY_BASE: f64 = 0.15;
+const SLACK_LATENCY_ALONE: f64 = 1.0;
+const SLACK_LATENCY_MAX: f64 = 0.6;
+const RESERVE_LATENCY_MAX: f64 = 1.2;
+/// A new object is held to at least this multiple of the mean latency ratio of all nodes. It can always find a quick
+/// node, whereas transactions that are fixed to a block cannot.
+const MOVABLE_LATENCY_FACTOR: f64 = 2.0;
+/// Seconds over which the usage of volumes is compared.
+const USAGE_SECONDS: f64 = 3.0;
+/// Seconds over which the units settled at a node are averaged. In a large fleet one initiator sends a node one
+/// transaction in ten seconds.
+const RATE_SECONDS: f64 = 20.0;
+/// Weight of an answer that a peer reports: the report is late and may be wrong.
+const PEER_ANSWER_WEIGHT: f64 = 0.5;
+/// Number of answers that a wider measure counts as where a narrower one has few.
+const PRIOR_ANSWERS: f64 = 3.0;
+/// Share of time-outs, at a node that is quick otherwise, above which answers count as lost on the way.
+const LOST_ANSWERS_SHARE: f64 = 0.1;
+/// Multiple of the expected latency after which a shot is overdue.
+const OVERDUE_LATENCIES: f64 = 4.0;
+/// Part of a cold node's budget that is claimed by the rate settled before its start; the remaining part is a
+/// margin for random variation.
+const EARLIER_RATE_SHARE: f64 = 0.85;
+/// Standard deviations by which a node may have more initiators than the mean node.
+const INITIATOR_DEVIATIONS: f64 = 3.0;
+/// Part of the drain grace in which shots are still sent to a draining node; the remaining part allows for list
+/// updates that take long to arrive.
+const DRAIN_GRACE_SHARE: f64 = 0.6;
+/// Transactions of a queue that are examined if those at its head have to wait.
+const QUEUE_LOOK_AHEAD: usize = 16;
+/// Minimum seconds without use after which a volume is evicted.
+const IDLE_SECONDS: f64 = 60.0;
+/// Maximum factor between a completion gap as it is charged and the gap expected from the node's pace.
+const MAX_GAP_FACTOR: f64 = 3.0;
+
+/// Most measures cover the last 3 s.
 impl Default for SlidingWindow {
     fn default() -> Self {
         SlidingWindow::new(0.5, 6)
     }
 }
 
+/// The decision core of one initiator.
 pub struct Scheduler {
-    set: Settings,
-    chance: WyRand,
-    shortest: f64,
-    highest: f64,
-    /// Of all nodes: stays, stays of answers alone, and the share of shots that timed out.
-    fleet: SlidingWindow,
-    quick: SlidingWindow,
-    lost: SlidingWindow,
+    settings: Settings,
+    rng: WyRand,
+    /// Shortest due time and highest benefit of all bands.
+    shortest_due: f64,
+    highest_benefit: f64,
+    /// Measures over all nodes: latency ratios of settled and timed-out shots (last 1 s), latency ratios of settled
+    /// shots and share of shots that timed out (last 3 s).
+    fleet_latency: SlidingWindow,
+    settled_latency: SlidingWindow,
+    timeouts: SlidingWindow,
     started: f64,
     transactions: BTreeMap<TransactionId, Transaction>,
-    posts: BTreeMap<BlockId, NodeState>,
+    nodes: BTreeMap<BlockId, NodeState>,
     volumes: BTreeMap<VolumeId, Volume>,
-    turns: BTreeMap<ExtentId, KeyQueue>,
-    /// Transactions that came for each block, of late.
-    asked: BTreeMap<BlockId, f64>,
-    longest: Vec<f64>,
-    taken: SlidingWindow,
-    further: SlidingWindow,
-    failed_calls: i32,
-    began: Option<bool>,
-    swept_at: f64,
-    /// Estimated node time of one random unit; units already tell a large transaction from a small one.
+    key_queues: BTreeMap<ExtentId, KeyQueue>,
+    /// Transactions received for each block. The counts are halved every IDLE_SECONDS.
+    requests_per_block: BTreeMap<BlockId, f64>,
+    /// Longest time to the outer limit seen in each band, seconds.
+    longest_budget: Vec<f64>,
+    /// Transactions received and further shots sent within the look-back of the retry budget.
+    received: SlidingWindow,
+    retries: SlidingWindow,
+    failed_fetches: i32,
+    /// Whether the first settled answer showed that the whole fleet had just started; None before it.
+    fleet_just_started: Option<bool>,
+    last_eviction_at: f64,
+    /// Estimated node time of one unit of random access, seconds. Units already account for the size of a
+    /// transaction.
     unit_time: f64,
 }
 
+/// Timer tags, in the low two bits; the high bits hold the transaction or block.
 const TAG_GIVE_UP: u64 = 0;
-const TAG_WAKE: u64 = 1;
-const TAG_ASK: u64 = 2;
-const TAG_LATE: u64 = 3;
+const TAG_CHECK_QUEUES: u64 = 1;
+const TAG_SUBSCRIBE: u64 = 2;
+const TAG_OVERDUE: u64 = 3;
 
 impl Scheduler {
-    pub fn start(now: f64, seed: u64, mut set: Settings, out: &mut impl Outbox) -> Self {
-        if set.must_subscribe {
-            out.subscribe(true);
-        }
-        set.plans.push(Plan::default()); // that of a volume without a plan
-        set.initiators = set.initiators.max(1.0);
-        set.mean_units = set.mean_units.max(1.0);
-        let shortest = set.bands.iter().map(|band| band.due).fold(f64::INFINITY, f64::min);
-        let highest = set.bands.iter().map(|band| band.benefit).fold(1e-9, f64::max);
-        let look_back = set.retry_budget.map_or(1.0, |(_, _, look_back)| look_back);
+    /// Starts the core of an initiator. `seed` seeds its random choices.
+    pub fn start(now: f64, seed: u64, mut settings: Settings, outbox: &mut impl Outbox) -> Self {
+        if settings.must_subscribe {
+            outbox.subscribe(true);
+        }
+        settings.plans.push(Plan::default()); // the plan of a volume without one
+        settings.initiators = settings.initiators.max(1.0);
+        settings.mean_units = settings.mean_units.max(1.0);
+        let shortest_due = settings.bands.iter().map(|band| band.due).fold(f64::INFINITY, f64::min);
+        let highest_benefit = settings.bands.iter().map(|band| band.benefit).fold(1e-9, f64::max);
+        let look_back = settings.retry_budget.map_or(1.0, |(_, _, look_back)| look_back);
         Scheduler {
-            chance: WyRand::new_seed(seed),
-            shortest,
-            highest,
+            rng: WyRand::new_seed(seed),
+            shortest_due,
+            highest_benefit,
             started: now,
-            fleet: SlidingWindow::new(0.25, 4),
-            quick: SlidingWindow::default(),
-            lost: SlidingWindow::default(),
-            longest: vec![0.0; set.bands.len()],
-            // One ring forgets a little early, the other a little late, so that neither helps the budget.
-            taken: SlidingWindow::new(look_back / 50.0, 50),
-            further: SlidingWindow::new(look_back / 50.0, 52),
-            unit_time: shortest.min(1e3) * RANDOM_PART / set.mean_units,
+            fleet_latency: SlidingWindow::new(0.25, 4),
+            settled_latency: SlidingWindow::default(),
+            timeouts: SlidingWindow::default(),
+            longest_budget: vec![0.0; settings.bands.len()],
+            // One window is a little short and the other a little long, so that neither error loosens the budget.
+            received: SlidingWindow::new(look_back / 50.0, 50),
+            retries: SlidingWindow::new(look_back / 50.0, 52),
+            unit_time: shortest_due.min(1e3) * INITIAL_DUE_SHARE / settings.mean_units,
             transactions: BTreeMap::new(),
-            posts: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             volumes: BTreeMap::new(),
-            turns: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            failed_calls: 0,
-            began: None,
-            swept_at: now,
-            set,
+            key_queues: BTreeMap::new(),
+            requests_per_block: BTreeMap::new(),
+            failed_fetches: 0,
+            fleet_just_started: None,
+            last_eviction_at: now,
+            settings,
         }
     }
 
+    /// A node list arrived from the register, or a fetch failed.
     pub fn node_list_received(
-        &mut self, now: f64, scope: ListKind, entries: &[ListedNode], out: &mut impl Outbox,
+        &mut self, now: f64, kind: ListKind, entries: &[ListedNode], outbox: &mut impl Outbox,
     ) {
-        if scope == ListKind::FetchFailed {
-            // May mean a lost subscription. Spaced and jittered: a crowd of repeats would choke the register.
-            self.failed_calls += 1;
-            let wait = 0.5 * f64::from(1 << self.failed_calls.min(3)) * self.spread();
-            return out.set_timer(wait, TAG_ASK);
-        }
-        self.failed_calls = 0;
-        if scope != ListKind::Changes {
-            let listed: BTreeSet<_> = entries.iter().map(|(node, ..)| Some(node)).collect();
-            let gone = self.posts.values_mut().filter(|post| !listed.contains(&post.node.as_ref()));
-            gone.for_each(|post| post.until = 0.0);
-        }
-        for (node, block, condition, started, size) in entries {
-            let ours = self.posts.get(block).is_some_and(|post| post.node.as_ref() == Some(node));
+        if kind == ListKind::FetchFailed {
+            // The subscription may be lost. Subscribes again after a growing, jittered delay, so that many
+            // initiators at once do not overload the register.
+            self.failed_fetches += 1;
+            let wait = 0.5 * f64::from(1 << self.failed_fetches.min(3)) * self.jitter();
+            return outbox.set_timer(wait, TAG_SUBSCRIBE);
+        }
+        self.failed_fetches = 0;
+        if kind != ListKind::Changes {
+            let listed: BTreeSet<_> = entries.iter().map(|(node_id, ..)| Some(node_id)).collect();
+            let removed = self.nodes.values_mut().filter(|node| !listed.contains(&node.node_id.as_ref()));
+            removed.for_each(|node| node.send_until = 0.0);
+        }
+        for (node_id, block, condition, started, size) in entries {
+            let same_node = self.nodes.get(block).is_some_and(|node| node.node_id.as_ref() == Some(node_id));
             if *condition != NodeCondition::Ready {
-                let serves = scope == ListKind::Changes && *condition == NodeCondition::Draining;
-                let until = if serves { now + GRACE_PART * self.set.drain_grace } else { 0.0 };
-                self.posts.get_mut(block).filter(|_| ours).into_iter().for_each(|post| {
-                    post.until = post.until.min(until);
+                let still_served = kind == ListKind::Changes && *condition == NodeCondition::Draining;
+                let until =
+                    if still_served { now + DRAIN_GRACE_SHARE * self.settings.drain_grace } else { 0.0 };
+                self.nodes.get_mut(block).filter(|_| same_node).into_iter().for_each(|node| {
+                    node.send_until = node.send_until.min(until);
                 });
                 continue;
             }
-            if !ours || self.posts[block].started != *started {
-                let before = self.posts.remove(block).unwrap_or_default();
-                let NodeState { lines, again, out, hosts, earlier_rate_at, .. } = before;
-                // A replacement that is listed as smaller bears as much less.
-                let smaller = *size > 0.0 && before.size > 0.0;
-                let earlier_rate =
-                    before.earlier_rate * if smaller { (size / before.size).min(1.0) } else { 1.0 };
-                let (node, started, out) = (Some(node.clone()), *started, if ours { out } else { 0.0 });
-                let elsewhere = self.transactions.values_mut().filter(|t| !ours && t.block == *block);
-                elsewhere.for_each(|t| t.late_at = f64::INFINITY); // holds no credit here
-                let known = started > 0.0 && self.set.overload_window > 0.0;
-                let warm_at = if known { started + self.set.warm_up + self.set.overload_window } else { 0.0 };
-                let fresh = NodeState { warm_at, earlier_rate, earlier_rate_at, ..self.fresh_post() };
-                let post = NodeState { node, started, lines, again, out, hosts, ..fresh };
-                self.posts.insert(*block, post);
+            if !same_node || self.nodes[block].started != *started {
+                let previous = self.nodes.remove(block).unwrap_or_default();
+                let NodeState {
+                    volume_queues,
+                    retry_queue,
+                    in_flight,
+                    max_volume_initiators,
+                    warm_rate_at,
+                    ..
+                } = previous;
+                // A replacement that is listed as smaller serves proportionally less.
+                let smaller = *size > 0.0 && previous.size > 0.0;
+                let warm_rate =
+                    previous.warm_rate * if smaller { (size / previous.size).min(1.0) } else { 1.0 };
+                let (node_id, started, in_flight) =
+                    (Some(node_id.clone()), *started, if same_node { in_flight } else { 0.0 });
+                let moved_away = self
+                    .transactions
+                    .values_mut()
+                    .filter(|transaction| !same_node && transaction.block == *block);
+                // Shots in flight at the previous node hold no credit at the new one.
+                moved_away.for_each(|transaction| transaction.overdue_at = f64::INFINITY);
+                let warms_up = started > 0.0 && self.settings.overload_window > 0.0;
+                let warm_at = if warms_up {
+                    started + self.settings.warm_up + self.settings.overload_window
+                } else {
+                    0.0
+                };
+                let fresh = NodeState { warm_at, warm_rate, warm_rate_at, ..self.new_node_state() };
+                let node = NodeState {
+                    node_id,
+                    started,
+                    volume_queues,
+                    retry_queue,
+                    in_flight,
+                    max_volume_initiators,
+                    ..fresh
+                };
+                self.nodes.insert(*block, node);
             }
-            let post = self.post(*block);
-            (post.until, post.size) = (f64::INFINITY, if *size > 0.0 { *size } else { 1.0 });
-            self.pump(now, *block, out);
+            let node = self.node_state(*block);
+            (node.send_until, node.size) = (f64::INFINITY, if *size > 0.0 { *size } else { 1.0 });
+            self.dispatch(now, *block, outbox);
         }
     }
 
+    /// A client sent a transaction. `initiators` is the number of initiators that its volume comes through,
+    /// `budget` the time up to its outer limit in seconds; without a `block` it writes a new object, which any node
+    /// may store.
     pub fn transaction_received(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
-        out: &mut impl Outbox,
+        outbox: &mut impl Outbox,
     ) {
-        self.taken.add(now, 1.0, 1.0);
-        if now >= self.swept_at + IDLE {
-            self.let_go(now);
-        }
-        let plan = plan.unwrap_or(PlanId(self.set.plans.len() - 1));
-        let (initiators, burst) = (initiators.max(1.0), self.set.plans[plan.0].burst);
-        // Empty at the start, unless all was seen from the beginning: a restart must not hand out a second
-        // burst. One that is let go, or first used late, has filled since the start; so it may be let go.
-        let level = if self.began == Some(true) { burst / initiators } else { 0.0 };
+        self.received.add(now, 1.0, 1.0);
+        if now >= self.last_eviction_at + IDLE_SECONDS {
+            self.evict_idle(now);
+        }
+        let plan = plan.unwrap_or(PlanId(self.settings.plans.len() - 1));
+        let (initiators, burst) = (initiators.max(1.0), self.settings.plans[plan.0].burst);
+        // The bucket was empty at the start of this process, as a restart must not grant a second burst, unless the
+        // whole fleet has just started. An evicted volume, or one first used later, has filled since the start, so
+        // eviction loses nothing.
+        let level = if self.fleet_just_started == Some(true) { burst / initiators } else { 0.0 };
         self.volumes.entry(volume.clone()).or_insert_with(|| {
-            let fresh = Volume { reserve: f64::INFINITY, filled_at: self.started, ..Volume::default() };
-            // What an earlier life lent counts at others until it has lapsed there.
+            let fresh =
+                Volume { reserve_level: f64::INFINITY, reserve_filled_at: self.started, ..Volume::default() };
+            // Units lent by an earlier process of this initiator count at the borrowers until the loans expire there.
             let limit = TokenBucket {
                 level,
-                filled_at: self.started + self.set.earlier_loans_hold,
+                filled_at: self.started + self.settings.earlier_loans_hold,
                 ..TokenBucket::default()
             };
             let limit_id = LimitId::of_volume(&volume);
-            Volume { plan, initiators, limit, limit_id, part: 1.0 / initiators, ..fresh }
+            Volume { plan, initiators, limit, limit_id, reservation_share: 1.0 / initiators, ..fresh }
         });
-        // A client's repeat has less time left than a first try; what it spent counts against its due time.
-        // More spent than a refusal and the advised wait explain is an impatient caller, not a repeat.
-        self.longest[band.0] = self.longest[band.0].max(budget);
-        let explained = 1.25 * (self.set.bands[band.0].due + self.set.max_retry_after);
-        let spent = Some(self.longest[band.0] - budget).filter(|spent| *spent < explained).unwrap_or(0.0);
-        let due = now + (self.set.bands[band.0].due - spent).min(budget);
+        // A client's repeat has less time left than its first try; the time spent counts against its due time. If
+        // more time is missing than a refusal and the advised delay explain, the client has a short time limit and
+        // this is its first try.
+        self.longest_budget[band.0] = self.longest_budget[band.0].max(budget);
+        let explained_time = 1.25 * (self.settings.bands[band.0].due + self.settings.max_retry_after);
+        let spent =
+            Some(self.longest_budget[band.0] - budget).filter(|spent| *spent < explained_time).unwrap_or(0.0);
+        let due = now + (self.settings.bands[band.0].due - spent).min(budget);
         let (late, movable) = (due <= now, block.is_none());
-        let block = block.unwrap_or_else(|| self.place(now, units));
-        *self.asked.entry(block).or_default() += 1.0;
-        let post = self.post(block);
-        post.hosts = post.hosts.max(initiators);
+        let block = block.unwrap_or_else(|| self.place_new_object(now, units));
+        *self.requests_per_block.entry(block).or_default() += 1.0;
+        let node = self.node_state(block);
+        node.max_volume_initiators = node.max_volume_initiators.max(initiators);
         let estimate = units * self.unit_time;
-        // Given up while the stay at the node, as its last answers were, would still fit.
-        let sojourn = estimate * self.post(block).delays.mean(now, 1.0);
-        let give_up = if late { now } else { (due - sojourn).max(0.75 * now + 0.25 * due) };
-        if let Some(extent) = extent.as_ref().filter(|_| self.set.bands[band.0].ordered) {
-            self.turns.entry(extent.clone()).or_default().line.push_back(id);
-        }
-        let t = Transaction { band, volume, extent, units, block, movable, ..Transaction::default() };
-        self.transactions.insert(id, Transaction { due, outer: now + budget, give_up, estimate, ..t });
-        self.shift(id, if late { State::Retry } else { State::Waiting });
-        self.pump(now, block, out);
+        // It is given up while a shot with the latency of the last answers would still end within the due time.
+        let expected_latency = estimate * self.node_state(block).delays.mean(now, 1.0);
+        let give_up_at = if late { now } else { (due - expected_latency).max(0.75 * now + 0.25 * due) };
+        if let Some(extent) = extent.as_ref().filter(|_| self.settings.bands[band.0].ordered) {
+            self.key_queues.entry(extent.clone()).or_default().queue.push_back(id);
+        }
+        let transaction =
+            Transaction { band, volume, extent, units, block, movable, ..Transaction::default() };
+        self.transactions
+            .insert(id, Transaction { due, outer_limit: now + budget, give_up_at, estimate, ..transaction });
+        self.set_state(id, if late { State::Retry } else { State::Waiting });
+        self.dispatch(now, block, outbox);
         if self.transactions[&id].state == State::Waiting {
-            out.set_timer(give_up - now, id.0 << 2 | TAG_GIVE_UP);
+            outbox.set_timer(give_up_at - now, id.0 << 2 | TAG_GIVE_UP);
         } else if self.transactions[&id].state == State::Retry {
-            // Late already: it had its chance at credit that nothing in time wanted.
-            self.give_up(now, id, out);
+            // It was late on arrival and found no credit that is not needed by transactions in time.
+            self.give_up(now, id, outbox);
         }
     }
 
+    /// A shot ended. `used` is the usage of the volume in percent of its nominal rate plus one (0: not reported),
+    /// `delay` the latency in seconds, `last` whether no further shot can follow, `others` the units that the node
+    /// served to the volume for other initiators. `_report`, the load report of the node, is not used.
     pub fn shot_completed(
-        &mut self, now: f64, id: TransactionId, node: &NodeId, _shot: u32, used: f64, delay: f64, last: bool,
-        outcome: Outcome, others: f64, _report: &[f64], out: &mut impl Outbox,
+        &mut self, now: f64, id: TransactionId, node_id: &NodeId, _shot: u32, used: f64, delay: f64,
+        last: bool, outcome: Outcome, others: f64, _report: &[f64], outbox: &mut impl Outbox,
     ) {
-        let Some(t) = self.transactions.get_mut(&id) else { return };
-        t.shot_out = false;
+        let Some(transaction) = self.transactions.get_mut(&id) else { return };
+        transaction.shot_in_flight = false;
         if !matches!(outcome, Outcome::QueueFull | Outcome::Unreachable | Outcome::Abandoned) {
-            t.maybe_ran.get_or_insert(t.sent_at);
+            transaction.may_have_run_since.get_or_insert(transaction.sent_at);
         }
-        let (block, over) = (t.block, t.state == State::Finished);
+        let (block, finished) = (transaction.block, transaction.state == State::Finished);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            let turn = t.extent.as_ref().and_then(|extent| self.turns.get_mut(extent));
-            turn.into_iter().for_each(|turn| turn.quiet_until = now + self.set.key_quiet_period);
-        }
-        if outcome == Outcome::Settled && self.began.is_none() {
-            // No period of use is over anywhere: all initiators have just begun, this one for the first time.
-            self.began = Some(self.set.reports_usage && used == 0.0);
-            for volume in self.volumes.values_mut().filter(|_| self.began == Some(true)) {
-                volume.limit.level += self.set.plans[volume.plan.0].burst / volume.initiators;
+            let key_queue = transaction.extent.as_ref().and_then(|extent| self.key_queues.get_mut(extent));
+            key_queue
+                .into_iter()
+                .for_each(|key_queue| key_queue.quiet_until = now + self.settings.key_quiet_period);
+        }
+        if outcome == Outcome::Settled && self.fleet_just_started.is_none() {
+            // No period of usage has ended anywhere, so the whole fleet has just started and this process is the
+            // first of its initiator.
+            self.fleet_just_started = Some(self.settings.reports_usage && used == 0.0);
+            for volume in self.volumes.values_mut().filter(|_| self.fleet_just_started == Some(true)) {
+                volume.limit.level += self.settings.plans[volume.plan.0].burst / volume.initiators;
             }
         }
-        self.learn(now, id, used, others);
-        let late = self.transactions[&id].late_at == f64::INFINITY;
-        if self.post(block).node.as_ref() == Some(node) && (!late || outcome == Outcome::Settled) {
-            self.account(now, id, delay, outcome, out);
-        }
-        if over || last || outcome == Outcome::Settled {
-            self.end(now, id, out);
-        } else if self.may_send(now, id) && now < self.transactions[&id].give_up {
-            let t = &self.transactions[&id];
-            let block = if t.movable && t.maybe_ran.is_none() { self.place(now, t.units) } else { t.block };
-            let t = self.transactions.get_mut(&id).unwrap();
-            t.block = block;
-            out.set_timer(t.give_up - now, id.0 << 2 | TAG_GIVE_UP);
-            self.shift(id, State::Retry);
-            self.pump(now, block, out);
+        self.update_reservation_share(now, id, used, others);
+        let credit_released = self.transactions[&id].overdue_at == f64::INFINITY;
+        if self.node_state(block).node_id.as_ref() == Some(node_id)
+            && (!credit_released || outcome == Outcome::Settled)
+        {
+            self.record_outcome(now, id, delay, outcome, outbox);
+        }
+        if finished || last || outcome == Outcome::Settled {
+            self.finish(now, id, outbox);
+        } else if self.may_send_shot(now, id) && now < self.transactions[&id].give_up_at {
+            let transaction = &self.transactions[&id];
+            let block = if transaction.movable && transaction.may_have_run_since.is_none() {
+                self.place_new_object(now, transaction.units)
+            } else {
+                transaction.block
+            };
+            let transaction = self.transactions.get_mut(&id).unwrap();
+            transaction.block = block;
+            outbox.set_timer(transaction.give_up_at - now, id.0 << 2 | TAG_GIVE_UP);
+            self.set_state(id, State::Retry);
+            self.dispatch(now, block, outbox);
         } else {
-            self.give_up(now, id, out);
+            self.give_up(now, id, outbox);
         }
-        self.pump(now, block, out);
+        self.dispatch(now, block, outbox);
     }
 
-    /// What other initiators had to say; whether units were there to move.
-    pub fn peer_report_received(&mut self, now: f64, shared: PeerReport, out: &mut impl Outbox) -> bool {
-        match shared {
-            PeerReport::Latency(block, stay, answers, ago) => {
-                let (post, weight) = (self.posts.get_mut(&block), answers * HEARSAY);
-                post.is_some_and(|post| post.others.add_at(now, now - ago, stay * weight, weight))
+    /// A peer report arrived. Returns whether it was used: whether the measure is recent enough, or the units could
+    /// be transferred.
+    pub fn peer_report_received(&mut self, now: f64, report: PeerReport, outbox: &mut impl Outbox) -> bool {
+        match report {
+            PeerReport::Latency(block, latency_ratio, answers, age) => {
+                let (node, weight) = (self.nodes.get_mut(&block), answers * PEER_ANSWER_WEIGHT);
+                node.is_some_and(|node| {
+                    node.peer_latency.add_at(now, now - age, latency_ratio * weight, weight)
+                })
             }
-            PeerReport::Units(account, units, until) => {
-                now < until && self.moved(now, account, units, until, out)
+            PeerReport::Units(limit_id, units, expires_at) => {
+                now < expires_at && self.transfer_units(now, limit_id, units, expires_at, outbox)
             }
         }
     }
 
-    fn moved(&mut self, now: f64, account: LimitId, units: f64, until: f64, out: &mut impl Outbox) -> bool {
-        let name = self.volumes.iter().find(|(_, volume)| volume.limit_id == account);
+    /// Adds borrowed units to a limit or removes lent ones, and sends what borrowed units allow. Returns whether
+    /// the units could be transferred.
+    fn transfer_units(
+        &mut self, now: f64, limit_id: LimitId, units: f64, expires_at: f64, outbox: &mut impl Outbox,
+    ) -> bool {
+        let name = self.volumes.iter().find(|(_, volume)| volume.limit_id == limit_id);
         let Some(name) = name.map(|(name, _)| name.clone()) else { return false };
-        self.fill(now, &name);
-        let done = self.volumes.get_mut(&name).unwrap().limit.transfer(units, until);
-        let blocks: Vec<BlockId> = self.posts.keys().filter(|_| units > 0.0).copied().collect();
-        blocks.into_iter().for_each(|block| self.pump(now, block, out));
-        done
+        self.refill(now, &name);
+        let transferred = self.volumes.get_mut(&name).unwrap().limit.transfer(units, expires_at);
+        let blocks: Vec<BlockId> = self.nodes.keys().filter(|_| units > 0.0).copied().collect();
+        blocks.into_iter().for_each(|block| self.dispatch(now, block, outbox));
+        transferred
     }
 
-    /// Accounts that are shared with others, and how each stands here.
+    /// The limits shared with other initiators, and the balance of each at this one.
     pub fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
-        let mut waits: BTreeMap<VolumeId, f64> = BTreeMap::new();
-        let waiting = self.transactions.values().filter(|t| t.state == State::Waiting);
-        for (name, block, units) in waiting.map(|t| (t.volume.clone(), t.block, t.units)).collect::<Vec<_>>()
+        let mut waiting_units: BTreeMap<VolumeId, f64> = BTreeMap::new();
+        let waiting = self.transactions.values().filter(|transaction| transaction.state == State::Waiting);
+        for (name, block, units) in waiting
+            .map(|transaction| (transaction.volume.clone(), transaction.block, transaction.units))
+            .collect::<Vec<_>>()
         {
-            // More of its limit helps only what its node has room for.
-            if self.stay(now, block) <= self.room(now, &name, 1, false) && now < self.posts[&block].until {
-                *waits.entry(name).or_default() += units;
+            // More units help only transactions that the latency of their node lets through.
+            if self.latency_ratio(now, block) <= self.max_latency_ratio(now, &name, 1, false)
+                && now < self.nodes[&block].send_until
+            {
+                *waiting_units.entry(name).or_default() += units;
             }
         }
-        let limited = |(_, volume): &(_, &Volume)| self.set.plans[volume.plan.0].limit > 0.0;
+        let limited = |(_, volume): &(_, &Volume)| self.settings.plans[volume.plan.0].limit > 0.0;
         let names: Vec<_> = self.volumes.iter().filter(limited).map(|(name, _)| name.clone()).collect();
-        let need = |name: VolumeId| {
-            self.fill(now, &name);
+        let balance = |name: VolumeId| {
+            self.refill(now, &name);
             let volume = self.volumes.get_mut(&name).unwrap();
-            let over = volume.limit.level - waits.get(&name).copied().unwrap_or(0.0);
-            // A second's use of its own is kept.
-            let keep = volume.usage.sum(now) / FEW / self.unit_time;
+            let surplus = volume.limit.level - waiting_units.get(&name).copied().unwrap_or(0.0);
+            // The usage of one second is kept.
+            let keep = volume.own_usage.sum(now) / USAGE_SECONDS / self.unit_time;
             LimitBalance {
                 limit_id: volume.limit_id,
-                spare: (over - keep).max(0.0),
-                shortfall: (-over).max(0.0),
+                spare: (surplus - keep).max(0.0),
+                shortfall: (-surplus).max(0.0),
             }
         };
-        names.into_iter().map(need).collect()
+        names.into_iter().map(balance).collect()
     }
 
-    /// Volumes and ordered keys held, for those who watch memory.
+    /// Numbers of volumes and ordering keys that are tracked, for monitoring of memory.
     pub fn tracked_counts(&self) -> (usize, usize) {
-        (self.volumes.len(), self.turns.len())
+        (self.volumes.len(), self.key_queues.len())
     }
 
-    /// Against accounts without end: volumes whose limit is full again, keys that have rested, old news.
-    fn let_go(&mut self, now: f64) {
-        self.swept_at = now;
-        let used: BTreeSet<&VolumeId> = self.transactions.values().map(|t| &t.volume).collect();
+    /// Bounds the memory: evicts idle volumes whose limit is full again, keys whose quiet period has ended, and old
+    /// usage reports.
+    fn evict_idle(&mut self, now: f64) {
+        self.last_eviction_at = now;
+        let in_use: BTreeSet<&VolumeId> =
+            self.transactions.values().map(|transaction| &transaction.volume).collect();
         self.volumes.retain(|name, volume| {
-            let plan = &self.set.plans[volume.plan.0];
-            let full = if plan.limit > 0.0 { 2.0 * plan.burst / plan.limit } else { 0.0 };
-            used.contains(name) || now - volume.filled_at < full.max(IDLE)
+            let plan = &self.settings.plans[volume.plan.0];
+            let fill_time = if plan.limit > 0.0 { 2.0 * plan.burst / plan.limit } else { 0.0 };
+            in_use.contains(name) || now - volume.reserve_filled_at < fill_time.max(IDLE_SECONDS)
         });
-        self.turns.retain(|_, turn| !turn.line.is_empty() || now < turn.quiet_until);
-        self.posts.values_mut().for_each(|post| post.told.retain(|_, at| now - *at < IDLE));
-        self.asked.values_mut().for_each(|asked| *asked /= 2.0);
+        self.key_queues.retain(|_, key_queue| !key_queue.queue.is_empty() || now < key_queue.quiet_until);
+        self.nodes.values_mut().for_each(|node| {
+            node.usage_reported_at.retain(|_, reported_at| now - *reported_at < IDLE_SECONDS)
+        });
+        self.requests_per_block.values_mut().for_each(|requests| *requests /= 2.0);
     }
 
-    /// Against work that nobody waits for. Where nodes go on with it all the same, its news is lost.
-    pub fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        let sent = self.transactions.get(&id).filter(|t| t.shot_out && self.set.may_cancel);
-        sent.into_iter().for_each(|t| out.cancel(id, t.shots - 1));
-        self.end(now, id, out);
+    /// The client cancelled the transaction: its shot is cancelled, so that nodes do no work that nobody waits for.
+    /// If the node completes the shot all the same, its measures are lost.
+    pub fn client_cancelled(&mut self, now: f64, id: TransactionId, outbox: &mut impl Outbox) {
+        let cancellable = self
+            .transactions
+            .get(&id)
+            .filter(|transaction| transaction.shot_in_flight && self.settings.may_cancel);
+        cancellable.into_iter().for_each(|transaction| outbox.cancel(id, transaction.shots - 1));
+        self.finish(now, id, outbox);
     }
 
-    pub fn timer_fired(&mut self, now: f64, tag: u64, out: &mut impl Outbox) {
+    /// A timer set through [`Outbox::set_timer`] fired.
+    pub fn timer_fired(&mut self, now: f64, tag: u64, outbox: &mut impl Outbox) {
         match (tag & 3, tag >> 2) {
             (TAG_GIVE_UP, id) => {
                 let id = TransactionId(id);
-                let Some(t) = self.transactions.get(&id) else { return };
-                if matches!(t.state, State::Waiting | State::Retry) && now >= t.give_up - 1e-6 {
-                    self.give_up(now, id, out);
+                let Some(transaction) = self.transactions.get(&id) else { return };
+                if matches!(transaction.state, State::Waiting | State::Retry)
+                    && now >= transaction.give_up_at - 1e-6
+                {
+                    self.give_up(now, id, outbox);
                 }
             }
-            (TAG_WAKE, block) => {
-                self.post(BlockId(block as i64)).wake_at = 0.0;
-                self.pump(now, BlockId(block as i64), out);
+            (TAG_CHECK_QUEUES, block) => {
+                self.node_state(BlockId(block as i64)).wake_at = 0.0;
+                self.dispatch(now, BlockId(block as i64), outbox);
             }
-            (TAG_LATE, id) => self.write_off(now, TransactionId(id), out),
-            _ => out.subscribe(true),
+            (TAG_OVERDUE, id) => self.release_overdue_credit(now, TransactionId(id), outbox),
+            _ => outbox.subscribe(true),
         }
     }
 
-    /// Every change of a transaction's state, with the line it leaves and the line it joins.
-    fn shift(&mut self, id: TransactionId, to: State) {
-        let t = self.transactions.get_mut(&id).unwrap();
-        let from = std::mem::replace(&mut t.state, to);
-        let due = t.due;
-        let post = self.posts.get_mut(&t.block).unwrap();
-        match from {
+    /// Changes the state of a transaction and moves it between the queues.
+    fn set_state(&mut self, id: TransactionId, new_state: State) {
+        let transaction = self.transactions.get_mut(&id).unwrap();
+        let old_state = std::mem::replace(&mut transaction.state, new_state);
+        let due = transaction.due;
+        let node = self.nodes.get_mut(&transaction.block).unwrap();
+        match old_state {
             State::Waiting => {
-                post.lines.get_mut(&t.volume).unwrap().retain(|held| *held != id);
-                post.lines.retain(|_, line| !line.is_empty());
+                node.volume_queues.get_mut(&transaction.volume).unwrap().retain(|queued| *queued != id);
+                node.volume_queues.retain(|_, queue| !queue.is_empty());
             }
-            State::Retry => post.again.retain(|held| *held != id),
+            State::Retry => node.retry_queue.retain(|queued| *queued != id),
             State::InFlight | State::Finished => {}
         }
-        match to {
+        match new_state {
             State::Waiting => {
-                let line = post.lines.entry(t.volume.clone()).or_default();
-                let at = line.iter().rposition(|held| self.transactions[held].due <= due);
-                line.insert(at.map_or(0, |at| at + 1), id);
+                let queue = node.volume_queues.entry(transaction.volume.clone()).or_default();
+                let before = queue.iter().rposition(|queued| self.transactions[queued].due <= due);
+                queue.insert(before.map_or(0, |before| before + 1), id);
             }
-            State::Retry => post.again.push_back(id),
+            State::Retry => node.retry_queue.push_back(id),
             State::InFlight | State::Finished => {}
         }
     }
 
-    // The ordinary path.
-    fn pump(&mut self, now: f64, block: BlockId, out: &mut impl Outbox) {
+    /// Sends the transactions that wait for this node as far as it has credit, or sets a timer to check again.
+    fn dispatch(&mut self, now: f64, block: BlockId, outbox: &mut impl Outbox) {
         loop {
-            let post = self.post(block);
-            if now >= post.until || post.held() == 0.0 || post.out >= post.bound.floor() + 1.0 {
+            let node = self.node_state(block);
+            if now >= node.send_until
+                || node.waiting() == 0.0
+                || node.in_flight >= node.concurrency_limit.floor() + 1.0
+            {
                 return;
             }
-            // The shot beyond the bound is the reserves' alone: slack sent before does not delay them.
-            let (full, mut wake) = (post.out >= post.bound.floor(), post.next_try);
-            if now >= wake {
-                let stay = self.stay(now, block);
-                match self.pick(now, block, full, stay) {
+            // One shot above the concurrency limit is left to the reservations, so that slack sent earlier does not
+            // delay them.
+            let (full, mut check_at) =
+                (node.in_flight >= node.concurrency_limit.floor(), node.next_attempt_at);
+            if now >= check_at {
+                let latency_ratio = self.latency_ratio(now, block);
+                match self.pick_next(now, block, full, latency_ratio) {
                     Ok(id) => {
-                        self.send(now, id, out);
+                        self.send(now, id, outbox);
                         continue;
                     }
-                    Err(at) => wake = if full && stay <= SLACK_PART { at } else { at.min(now + 0.05) },
+                    Err(ready_at) => {
+                        check_at = if full && latency_ratio <= SLACK_LATENCY_BASE {
+                            ready_at
+                        } else {
+                            ready_at.min(now + 0.05)
+                        }
+                    }
                 }
             }
-            let post = self.post(block);
-            if wake > now && wake < f64::INFINITY && post.wake_at <= now {
-                post.wake_at = wake.max(now + 0.01);
-                out.set_timer(post.wake_at - now, (block.0 as u64) << 2 | TAG_WAKE);
+            let node = self.node_state(block);
+            if check_at > now && check_at < f64::INFINITY && node.wake_at <= now {
+                node.wake_at = check_at.max(now + 0.01);
+                outbox.set_timer(node.wake_at - now, (block.0 as u64) << 2 | TAG_CHECK_QUEUES);
             }
             return;
         }
     }
 
-    /// Mean stay at the node, in due times, by the answers of the last half second; where these are few, by
-    /// those of the last seconds, and where these are, by all nodes. Silence tells as much as a late answer.
-    fn stay(&mut self, now: f64, block: BlockId) -> f64 {
-        let fleet = self.fleet.mean_with_prior(now, 0.0, PRIOR);
-        let lossy = self.lossy(now, block);
-        let post = self.posts.get_mut(&block).unwrap();
-        // Only where there is nothing of one's own: what others saw is late, and all would follow it.
-        let hearsay = post.others.has_samples(now) && !post.stays.has_samples(now);
-        let wide = if hearsay { post.others.mean_with_prior(now, fleet, PRIOR) } else { fleet };
-        let wide = post.stays.mean_with_prior(now, wide, PRIOR);
-        // Not where answers get lost on the way: there shots are stopped early, and silence is no jam.
-        let silent = if post.out > 0.0 && !lossy { (now - post.silent_since) / self.shortest } else { 0.0 };
-        post.strain.mean_with_prior(now, wide, PRIOR).max(silent)
-    }
-
-    /// Whether answers of this node, or all where few, get lost: many time out though others are quick.
-    fn lossy(&mut self, now: f64, block: BlockId) -> bool {
-        let (lost, quick) = (self.lost.mean(now, 0.0), self.quick.mean(now, 1.0));
-        let post = self.posts.get_mut(&block).unwrap();
-        post.lost.mean_with_prior(now, lost, PRIOR) > LOSSY
-            && post.strain.mean_with_prior(now, quick, PRIOR) < 0.3
-    }
-
-    /// The next transaction for this node, or when to look again.
-    fn pick(&mut self, now: f64, block: BlockId, full: bool, stay: f64) -> Result<TransactionId, f64> {
-        let (mut look_again, mut best) = (f64::INFINITY, None);
-        let (cold, all) = (self.cold(now, block), self.quick.mean_with_prior(now, 0.0, PRIOR));
-        let heads = |line: &VecDeque<TransactionId>| line.iter().copied().take(LOOK_AHEAD).collect();
-        let post = &self.posts[&block];
-        let lines: Vec<Vec<_>> = post.lines.values().chain([&post.again]).map(heads).collect();
-        for line in lines {
+    /// Mean latency ratio at the node: by the answers of the last 0.5 s; if these are few, by those of the last 3
+    /// s, and if these are few too, by those of all nodes. A node that is silent counts as late.
+    fn latency_ratio(&mut self, now: f64, block: BlockId) -> f64 {
+        let fleet_latency = self.fleet_latency.mean_with_prior(now, 0.0, PRIOR_ANSWERS);
+        let loses_answers = self.loses_answers(now, block);
+        let node = self.nodes.get_mut(&block).unwrap();
+        // Peer reports count only if this initiator has no measures of its own: they are late, and all initiators
+        // would react to them alike.
+        let use_peer_reports = node.peer_latency.has_samples(now) && !node.latency.has_samples(now);
+        let wider = if use_peer_reports {
+            node.peer_latency.mean_with_prior(now, fleet_latency, PRIOR_ANSWERS)
+        } else {
+            fleet_latency
+        };
+        let wider = node.latency.mean_with_prior(now, wider, PRIOR_ANSWERS);
+        // Where answers get lost, shots are stopped early and silence does not mean a jam.
+        let silent = if node.in_flight > 0.0 && !loses_answers {
+            (now - node.silent_since) / self.shortest_due
+        } else {
+            0.0
+        };
+        node.settled_latency.mean_with_prior(now, wider, PRIOR_ANSWERS).max(silent)
+    }
+
+    /// Whether answers of this node get lost on the way: many shots time out although the other answers are quick.
+    /// If the node has few answers, those of all nodes count.
+    fn loses_answers(&mut self, now: f64, block: BlockId) -> bool {
+        let (timeouts, settled_latency) = (self.timeouts.mean(now, 0.0), self.settled_latency.mean(now, 1.0));
+        let node = self.nodes.get_mut(&block).unwrap();
+        node.timeouts.mean_with_prior(now, timeouts, PRIOR_ANSWERS) > LOST_ANSWERS_SHARE
+            && node.settled_latency.mean_with_prior(now, settled_latency, PRIOR_ANSWERS) < 0.3
+    }
+
+    /// The next transaction to send to this node, or the time at which to check again.
+    fn pick_next(
+        &mut self, now: f64, block: BlockId, full: bool, latency_ratio: f64,
+    ) -> Result<TransactionId, f64> {
+        let (mut check_at, mut best) = (f64::INFINITY, None);
+        let (cold, fleet_latency) =
+            (self.is_cold(now, block), self.settled_latency.mean_with_prior(now, 0.0, PRIOR_ANSWERS));
+        let head = |queue: &VecDeque<TransactionId>| queue.iter().copied().take(QUEUE_LOOK_AHEAD).collect();
+        let node = &self.nodes[&block];
+        let queues: Vec<Vec<_>> = node.volume_queues.values().chain([&node.retry_queue]).map(head).collect();
+        for queue in queues {
             let mut ready = |id: &TransactionId| {
-                let at = self.ready_at(now, *id);
-                look_again = look_again.min(at);
-                at <= now
+                let ready_at = self.earliest_send(now, *id);
+                check_at = check_at.min(ready_at);
+                ready_at <= now
             };
-            let Some(id) = line.into_iter().find(&mut ready) else { continue };
-            let t = &self.transactions[&id];
-            let (name, state, estimate) = (t.volume.clone(), t.state, t.estimate);
-            let (band, movable) = (t.band, t.movable);
+            let Some(id) = queue.into_iter().find(&mut ready) else { continue };
+            let transaction = &self.transactions[&id];
+            let (name, state, estimate) =
+                (transaction.volume.clone(), transaction.state, transaction.estimate);
+            let (band, movable) = (transaction.band, transaction.movable);
             let rank = match state {
                 State::Retry => (2, 0.0),
-                _ if cold => (0, -self.set.bands[band.0].benefit * self.plan(&name).benefit_factor),
+                _ if cold => (0, -self.settings.bands[band.0].benefit * self.plan(&name).benefit_factor),
                 _ => self.rank(now, &name, estimate),
             };
-            let stay = if movable { stay.max(MOVABLE * all) } else { stay };
-            // By benefit: what can wait long is there whenever a jammed node opens, what can't was given up.
-            let worth = self.set.bands[band.0].benefit / self.highest;
-            if stay <= self.room(now, &name, rank.0, full) * worth
-                && best.is_none_or(|(known, _)| rank < known)
+            let latency_ratio = if movable {
+                latency_ratio.max(MOVABLE_LATENCY_FACTOR * fleet_latency)
+            } else {
+                latency_ratio
+            };
+            // Latency is weighed by benefit: transactions that can wait long are present whenever a jammed node
+            // admits some, while those that cannot have been given up by then.
+            let benefit = self.settings.bands[band.0].benefit / self.highest_benefit;
+            if latency_ratio <= self.max_latency_ratio(now, &name, rank.0, full) * benefit
+                && best.is_none_or(|(best_rank, _)| rank < best_rank)
             {
                 best = Some((rank, id));
             }
         }
-        best.map(|(_, id)| id).ok_or(look_again)
+        best.map(|(_, id)| id).ok_or(check_at)
     }
 
-    /// The stay past which a transaction of this class waits.
-    fn room(&mut self, now: f64, name: &VolumeId, class: u8, full: bool) -> f64 {
+    /// The latency ratio above which a transaction of this class (0: reservation, 1: slack, 2: retry) waits.
+    /// `full`: only the shot above the concurrency limit is left.
+    fn max_latency_ratio(&mut self, now: f64, name: &VolumeId, class: u8, full: bool) -> f64 {
         if class == 0 {
-            return RESERVE_PART;
+            return RESERVE_LATENCY_MAX;
         } else if full {
             return -1.0;
         }
-        let sized = self.plan(name).nominal * self.unit_time * FEW;
-        let used = self.used(now, name).max(1e-9);
-        let fit = if sized > 0.0 { (2.0 * sized / used).min(1.0) } else { 1.0 };
-        (SLACK_PART + SLACK_ALONE * fit / self.volumes[name].initiators).min(SLACK_MOST)
+        let nominal_usage = self.plan(name).nominal * self.unit_time * USAGE_SECONDS;
+        let usage = self.total_usage(now, name).max(1e-9);
+        let slack_share = if nominal_usage > 0.0 { (2.0 * nominal_usage / usage).min(1.0) } else { 1.0 };
+        (SLACK_LATENCY_BASE + SLACK_LATENCY_ALONE * slack_share / self.volumes[name].initiators)
+            .min(SLACK_LATENCY_MAX)
     }
 
-    /// Reserve first, by the time at which the bucket covers (or covered) the estimate; then slack, to the
-    /// volume with the least charged time of the last few seconds for its weight.
+    /// The class of a transaction and its order within the class. Reservations come first, by the time at which the
+    /// bucket covers (or covered) the estimate; then slack, by the volume's usage beyond its reservation within the
+    /// last USAGE_SECONDS, divided by its weight.
     fn rank(&mut self, now: f64, name: &VolumeId, estimate: f64) -> (u8, f64) {
-        let (share, span) = self.reserve(name);
+        let (share, span) = self.reservation(name);
         let weight = self.plan(name).weight.max(0.01);
         let reserved = self.plan(name).reservation * self.unit_time;
-        let wait = (estimate.min(span) - self.volumes[name].reserve) / share.max(1e-9);
+        let wait = (estimate.min(span) - self.volumes[name].reserve_level) / share.max(1e-9);
         if share > 0.0 && wait <= 0.0 {
             (0, wait)
         } else {
-            let beyond = self.used(now, name) - reserved * FEW;
-            (1, beyond.max(0.0) / weight)
+            let slack_usage = self.total_usage(now, name) - reserved * USAGE_SECONDS;
+            (1, slack_usage.max(0.0) / weight)
         }
     }
 
-    /// The reservation is split by who used the volume of late, evenly while little is known.
-    fn learn(&mut self, now: f64, id: TransactionId, used: f64, others: f64) {
-        let t = &self.transactions[&id];
-        let name = t.volume.clone();
-        let last = self.posts.get_mut(&t.block).unwrap().told.insert(name.clone(), now);
+    /// Updates this initiator's share of the volume's reservation by the usage within the last USAGE_SECONDS.
+    /// Shares are even while little is known.
+    fn update_reservation_share(&mut self, now: f64, id: TransactionId, used: f64, others: f64) {
+        let transaction = &self.transactions[&id];
+        let name = transaction.volume.clone();
+        let last_report =
+            self.nodes.get_mut(&transaction.block).unwrap().usage_reported_at.insert(name.clone(), now);
         let volume = self.volumes.get_mut(&name).unwrap();
-        // The figure is of all the time since the last one: only the last few seconds of it count.
-        let recent = last.map_or(0.0, |last| (FEW / (now - last).max(1e-3)).min(1.0));
-        volume.theirs.add(now, others * recent * self.unit_time, 1.0);
+        // The report covers the time since the previous one; only its last USAGE_SECONDS count.
+        let recent_share =
+            last_report.map_or(0.0, |last_report| (USAGE_SECONDS / (now - last_report).max(1e-3)).min(1.0));
+        volume.others_usage.add(now, others * recent_share * self.unit_time, 1.0);
         if used > 0.0 {
-            let rate = (used - 1.0) / 100.0 * self.set.plans[volume.plan.0].nominal;
-            volume.metered.add(now, rate * self.unit_time, 1.0);
+            let rate = (used - 1.0) / 100.0 * self.settings.plans[volume.plan.0].nominal;
+            volume.metered_usage.add(now, rate * self.unit_time, 1.0);
         }
-        let ours = volume.usage.sum(now).max(0.0);
-        // A meter that tells under half of what this initiator used alone is of a time before: no news.
-        let metered = volume.metered.has_samples(now) && 2.0 * FEW * volume.metered.mean(now, 0.0) >= ours;
-        let (told, theirs) = (self.set.reports_others_usage || metered, self.theirs(now, &name));
+        let own_usage = volume.own_usage.sum(now).max(0.0);
+        // A meter that reports less than half of what this initiator alone used refers to an earlier time and is
+        // ignored.
+        let meter_valid = volume.metered_usage.has_samples(now)
+            && 2.0 * USAGE_SECONDS * volume.metered_usage.mean(now, 0.0) >= own_usage;
+        let (reported, others_usage) =
+            (self.settings.reports_others_usage || meter_valid, self.others_usage(now, &name));
         let volume = self.volumes.get_mut(&name).unwrap();
-        let known = 2.0 * self.set.mean_units * self.unit_time;
-        let part = (ours + known / volume.initiators) / (ours + theirs + known);
-        volume.part = if told { part } else { 1.0 / volume.initiators };
+        let prior_usage = 2.0 * self.settings.mean_units * self.unit_time;
+        let share = (own_usage + prior_usage / volume.initiators) / (own_usage + others_usage + prior_usage);
+        volume.reservation_share = if reported { share } else { 1.0 / volume.initiators };
     }
 
-    /// Node time that all initiators used of the volume in the last few seconds.
-    fn used(&mut self, now: f64, name: &VolumeId) -> f64 {
-        let theirs = self.theirs(now, name);
-        self.volumes.get_mut(name).unwrap().usage.sum(now) + theirs
+    /// Node time of the volume used through all initiators within the last USAGE_SECONDS.
+    fn total_usage(&mut self, now: f64, name: &VolumeId) -> f64 {
+        let others_usage = self.others_usage(now, name);
+        self.volumes.get_mut(name).unwrap().own_usage.sum(now) + others_usage
     }
 
-    /// What others used of that; where answers do not tell it, the meter's rate for all less one's own, late.
-    fn theirs(&mut self, now: f64, name: &VolumeId) -> f64 {
+    /// Node time of that used through other initiators. If answers do not report it, it is the metered rate of all,
+    /// which is late, less the usage of this initiator.
+    fn others_usage(&mut self, now: f64, name: &VolumeId) -> f64 {
         let volume = self.volumes.get_mut(name).unwrap();
-        if self.set.reports_others_usage {
-            return volume.theirs.sum(now);
+        if self.settings.reports_others_usage {
+            return volume.others_usage.sum(now);
         }
-        (volume.metered.mean(now, 0.0) * FEW - volume.usage.sum(now)).max(0.0)
+        (volume.metered_usage.mean(now, 0.0) * USAGE_SECONDS - volume.own_usage.sum(now)).max(0.0)
     }
 
-    /// This initiator's part of the volume's reservation, in node time a second, and what its bucket spans
-    /// either way: a second's share and a large transaction, as a share can be smaller than one transaction.
-    fn reserve(&self, name: &VolumeId) -> (f64, f64) {
-        let share = self.plan(name).reservation * self.volumes[name].part * self.unit_time;
-        (share, share + 3.0 * self.set.mean_units * self.unit_time)
+    /// This initiator's part of the volume's reservation, in node time per second, and the span of its bucket above
+    /// and below zero: one second of that part and a large transaction, as the part can be smaller than one
+    /// transaction.
+    fn reservation(&self, name: &VolumeId) -> (f64, f64) {
+        let share = self.plan(name).reservation * self.volumes[name].reservation_share * self.unit_time;
+        (share, share + 3.0 * self.settings.mean_units * self.unit_time)
     }
 
     fn plan(&self, name: &VolumeId) -> &Plan {
-        &self.set.plans[self.volumes[name].plan.0]
+        &self.settings.plans[self.volumes[name].plan.0]
     }
 
-    fn fill(&mut self, now: f64, name: &VolumeId) {
-        let (share, span) = self.reserve(name);
-        let parts = self.volumes[name].initiators;
-        let (rate, burst) = (self.plan(name).limit / parts, self.plan(name).burst / parts);
+    /// Fills the buckets of the reservation and the limit.
+    fn refill(&mut self, now: f64, name: &VolumeId) {
+        let (share, span) = self.reservation(name);
+        let initiators = self.volumes[name].initiators;
+        let (rate, burst) = (self.plan(name).limit / initiators, self.plan(name).burst / initiators);
         let volume = self.volumes.get_mut(name).unwrap();
-        let past = now - std::mem::replace(&mut volume.filled_at, now);
-        volume.reserve = (volume.reserve + share * past).min(span);
+        let elapsed = now - std::mem::replace(&mut volume.reserve_filled_at, now);
+        volume.reserve_level = (volume.reserve_level + share * elapsed).min(span);
         volume.limit.refill(now, rate, burst);
     }
 
-    fn charge(&mut self, now: f64, name: &VolumeId, time: f64) {
-        let (_, span) = self.reserve(name);
+    /// Charges node time in seconds to a volume.
+    fn charge(&mut self, now: f64, name: &VolumeId, node_time: f64) {
+        let (_, span) = self.reservation(name);
         let volume = self.volumes.get_mut(name).unwrap();
-        volume.reserve = (volume.reserve - time).clamp(-span, span);
-        volume.usage.add(now, time, 1.0);
-    }
-
-    fn send(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        self.shift(id, State::InFlight);
-        let lossy = self.lossy(now, self.transactions[&id].block);
-        let t = self.transactions.get_mut(&id).unwrap();
-        let mut estimate = t.units * self.unit_time;
-        let post = self.posts.get_mut(&t.block).unwrap();
-        if let Some(extent) = &t.extent {
-            if t.shots == 0 && post.recent.contains(extent) {
-                estimate *= RUN_PART;
+        volume.reserve_level = (volume.reserve_level - node_time).clamp(-span, span);
+        volume.own_usage.add(now, node_time, 1.0);
+    }
+
+    /// Sends a shot of this transaction to the node of its block.
+    fn send(&mut self, now: f64, id: TransactionId, outbox: &mut impl Outbox) {
+        self.set_state(id, State::InFlight);
+        let loses_answers = self.loses_answers(now, self.transactions[&id].block);
+        let transaction = self.transactions.get_mut(&id).unwrap();
+        let mut estimate = transaction.units * self.unit_time;
+        let node = self.nodes.get_mut(&transaction.block).unwrap();
+        if let Some(extent) = &transaction.extent {
+            if transaction.shots == 0 && node.recent_extents.contains(extent) {
+                estimate *= SEQUENTIAL_TIME_FACTOR;
             }
-            post.recent.retain(|known| known != extent);
-            post.recent.push_front(extent.clone());
-            post.recent.truncate(RECENT);
-        }
-        (t.estimate, t.sent_at, t.was_idle, t.shot_out) = (estimate, now, post.out == 0.0, true);
-        post.silent_since = if post.out == 0.0 { now } else { post.silent_since };
-        post.out += 1.0;
-        let likely = estimate * post.delays.mean(now, 1.0);
-        post.slow_start_sent.add(now, t.units, 1.0);
-        post.saved = post.saved.map(|(saved, at)| (saved - t.units, at));
-        t.shots += 1;
-        let name = t.volume.clone();
-        // To the outer limit, as a node may go on with what is timed out. Only where many time out though
-        // others come back soon, answers get lost, and an early stop leaves time for another shot.
-        let stay = (STAYS * likely).max(self.set.bands[t.band.0].due / 3.0);
-        let stop_at = if lossy { t.outer.min(now + stay) } else { t.outer };
-        t.late_at = now + stay;
-        out.set_timer(stay, id.0 << 2 | TAG_LATE);
-        post.node.iter().for_each(|node| out.send(id, stop_at, node));
-        let (first, further) = if t.shots == 1 { (t.units, 0.0) } else { (0.0, 1.0) };
-        self.further.add(now, further, 1.0);
-        self.volumes.get_mut(&name).unwrap().limit.level -= first;
+            node.recent_extents.retain(|recent| recent != extent);
+            node.recent_extents.push_front(extent.clone());
+            node.recent_extents.truncate(RECENT_EXTENTS);
+        }
+        (transaction.estimate, transaction.sent_at, transaction.node_was_idle, transaction.shot_in_flight) =
+            (estimate, now, node.in_flight == 0.0, true);
+        node.silent_since = if node.in_flight == 0.0 { now } else { node.silent_since };
+        node.in_flight += 1.0;
+        let expected = estimate * node.delays.mean(now, 1.0);
+        node.cold_start_sent.add(now, transaction.units, 1.0);
+        node.cold_start_savings =
+            node.cold_start_savings.map(|(savings, saved_at)| (savings - transaction.units, saved_at));
+        transaction.shots += 1;
+        let name = transaction.volume.clone();
+        // A shot normally runs to the outer limit, as a node may continue with a shot that timed out. Only where
+        // answers get lost (many shots time out while others settle quickly) an early stop leaves time for another.
+        let overdue_after =
+            (OVERDUE_LATENCIES * expected).max(self.settings.bands[transaction.band.0].due / 3.0);
+        let stop_at = if loses_answers {
+            transaction.outer_limit.min(now + overdue_after)
+        } else {
+            transaction.outer_limit
+        };
+        transaction.overdue_at = now + overdue_after;
+        outbox.set_timer(overdue_after, id.0 << 2 | TAG_OVERDUE);
+        node.node_id.iter().for_each(|node_id| outbox.send(id, stop_at, node_id));
+        let (first_units, retries) =
+            if transaction.shots == 1 { (transaction.units, 0.0) } else { (0.0, 1.0) };
+        self.retries.add(now, retries, 1.0);
+        self.volumes.get_mut(&name).unwrap().limit.level -= first_units;
         self.charge(now, &name, estimate);
     }
 
-    /// What an outcome tells of its node: the gap corrects the volume's account, the delay moves the bound.
-    fn account(&mut self, now: f64, id: TransactionId, delay: f64, outcome: Outcome, out: &mut impl Outbox) {
-        let t = &self.transactions[&id];
-        let (estimate, units, block, name) = (t.estimate, t.units, t.block, t.volume.clone());
-        // Twice the due time at most, so that one lost answer among good ones does not look like a jam.
-        let stay = (delay / self.set.bands[t.band.0].due).min(2.0);
-        let (was_idle, held) = (t.was_idle, f64::from(u8::from(t.late_at.is_finite())));
-        let (cold, lossy) = (self.cold(now, block), self.lossy(now, block));
-        let post = self.posts.get_mut(&block).unwrap();
-        if outcome == Outcome::Settled || (outcome == Outcome::TimedOut && !lossy) {
-            self.fleet.add(now, stay, 1.0);
-            post.stays.add(now, stay, 1.0);
-            out.latency_observed(block, stay);
-        }
-        post.out = (post.out - held).max(0.0);
-        post.silent_since = now;
-        let missed = f64::from(u8::from(outcome == Outcome::TimedOut));
-        post.lost.add(now, missed, 1.0);
-        self.lost.add(now, missed, 1.0);
+    /// Updates the measures of a node by the outcome of a shot: the completion gap corrects the charge of the
+    /// volume, and the delay adapts the concurrency limit.
+    fn record_outcome(
+        &mut self, now: f64, id: TransactionId, delay: f64, outcome: Outcome, outbox: &mut impl Outbox,
+    ) {
+        let transaction = &self.transactions[&id];
+        let (estimate, units, block, name) =
+            (transaction.estimate, transaction.units, transaction.block, transaction.volume.clone());
+        // At most twice the due time, so that one lost answer among good ones does not look like a jam.
+        let latency_ratio = (delay / self.settings.bands[transaction.band.0].due).min(2.0);
+        let (node_was_idle, held_credit) =
+            (transaction.node_was_idle, f64::from(u8::from(transaction.overdue_at.is_finite())));
+        let (cold, loses_answers) = (self.is_cold(now, block), self.loses_answers(now, block));
+        let node = self.nodes.get_mut(&block).unwrap();
+        if outcome == Outcome::Settled || (outcome == Outcome::TimedOut && !loses_answers) {
+            self.fleet_latency.add(now, latency_ratio, 1.0);
+            node.latency.add(now, latency_ratio, 1.0);
+            outbox.latency_observed(block, latency_ratio);
+        }
+        node.in_flight = (node.in_flight - held_credit).max(0.0);
+        node.silent_since = now;
+        let timed_out = f64::from(u8::from(outcome == Outcome::TimedOut));
+        node.timeouts.add(now, timed_out, 1.0);
+        self.timeouts.add(now, timed_out, 1.0);
         let lost = matches!(outcome, Outcome::Unreachable | Outcome::TimedOut | Outcome::Reset);
-        post.misses = if lost { post.misses + 1 } else { 0 };
+        node.losses_in_a_row = if lost { node.losses_in_a_row + 1 } else { 0 };
         match outcome {
             Outcome::Settled => {
-                // Never above the delay: after a lost answer the last completion was of another time.
-                let gap = if was_idle { delay } else { (now - post.last_done).clamp(0.0, delay.max(0.0)) };
-                post.last_done = now;
+                // At most the delay, as the last completion may be long ago after a lost answer.
+                let gap = if node_was_idle {
+                    delay
+                } else {
+                    (now - node.last_settled_at).clamp(0.0, delay.max(0.0))
+                };
+                node.last_settled_at = now;
                 if !cold {
-                    post.settled.add(now, units, 1.0);
-                    // Over the whole span, however little of it was seen: a burst is no rate, leads move.
-                    post.earlier_rate = post.settled.sum(now) / LONG;
-                    post.earlier_rate_at = now;
+                    node.settled_units.add(now, units, 1.0);
+                    // The divisor is the whole span even if less of it was observed, as a burst is not a sustained
+                    // rate and volumes move between initiators.
+                    node.warm_rate = node.settled_units.sum(now) / RATE_SECONDS;
+                    node.warm_rate_at = now;
                 }
-                post.gaps.add(now, gap, estimate);
-                post.delays.add(now, delay, estimate);
-                post.strain.add(now, stay, 1.0);
-                self.quick.add(now, stay, 1.0);
-                let strain = post.strain.mean(now, 0.0);
-                if strain > NODE_PART {
-                    post.bound = (post.bound * 0.9).max(1.0);
-                } else if post.out + 1.0 >= post.bound.floor() {
-                    post.bound = (post.bound + 1.0 / post.bound).min(MOST_OUT);
+                node.completion_gaps.add(now, gap, estimate);
+                node.delays.add(now, delay, estimate);
+                node.settled_latency.add(now, latency_ratio, 1.0);
+                self.settled_latency.add(now, latency_ratio, 1.0);
+                let mean_latency = node.settled_latency.mean(now, 0.0);
+                if mean_latency > LATENCY_TARGET {
+                    node.concurrency_limit = (node.concurrency_limit * 0.9).max(1.0);
+                } else if node.in_flight + 1.0 >= node.concurrency_limit.floor() {
+                    node.concurrency_limit =
+                        (node.concurrency_limit + 1.0 / node.concurrency_limit).min(MAX_IN_FLIGHT);
                 }
-                // Against a slow or shared node: its gaps are long for all alike, so a gap is read against
-                // the node's own pace, and a pause that lands on one completion is clamped.
-                let likely = (estimate * post.gaps.mean(now, 1.0)).max(1e-9);
-                let measured = estimate * (gap / likely).clamp(1.0 / GAP_CLAMP, GAP_CLAMP);
-                self.charge(now, &name, measured - estimate);
+                // The gaps of a slow or shared node are long for all volumes alike, so a gap is compared with the
+                // node's own pace; the clamp limits the effect of a pause on a single completion.
+                let expected = (estimate * node.completion_gaps.mean(now, 1.0)).max(1e-9);
+                let measured_time = estimate * (gap / expected).clamp(1.0 / MAX_GAP_FACTOR, MAX_GAP_FACTOR);
+                self.charge(now, &name, measured_time - estimate);
             }
-            Outcome::QueueFull => (post.bound, post.next_try) = ((post.bound * 0.5).max(1.0), now + 0.02),
-            // Three in a row are chance where every fourth answer is lost on the way.
-            _ if lost && (outcome == Outcome::Unreachable || post.misses >= if lossy { 6 } else { 3 }) => {
-                post.bound = 1.0;
-                let wait = 0.05 * f64::from(1 << post.misses.min(5));
-                self.post(block).next_try = now + wait * self.spread();
+            Outcome::QueueFull => {
+                (node.concurrency_limit, node.next_attempt_at) =
+                    ((node.concurrency_limit * 0.5).max(1.0), now + 0.02)
+            }
+            // Where every fourth answer gets lost, three losses in a row happen by chance.
+            _ if lost
+                && (outcome == Outcome::Unreachable
+                    || node.losses_in_a_row >= if loses_answers { 6 } else { 3 }) =>
+            {
+                node.concurrency_limit = 1.0;
+                let wait = 0.05 * f64::from(1 << node.losses_in_a_row.min(5));
+                self.node_state(block).next_attempt_at = now + wait * self.jitter();
             }
-            // An error, however fast, is charged as estimated and says nothing of the node's pace.
+            // An error is charged as estimated, however fast it came; it says nothing about the node's pace.
             _ => {}
         }
     }
 
-    // Exceptions.
-    /// Where a new object goes: the node with the most credit left, by chance among equals.
-    fn place(&mut self, now: f64, units: f64) -> BlockId {
+    /// Selects the node for a new object: the one with the most credit left, at random among equals.
+    fn place_new_object(&mut self, now: f64, units: f64) -> BlockId {
         let mut best = (f64::NEG_INFINITY, BlockId(0));
-        for block in self.posts.keys().copied().collect::<Vec<_>>() {
-            let stay = self.stay(now, block);
-            let slow_start = if self.cold(now, block) && !self.slow_start_admits(now, block, units) {
-                MOST_OUT
+        for block in self.nodes.keys().copied().collect::<Vec<_>>() {
+            let latency_ratio = self.latency_ratio(now, block);
+            let cold_penalty = if self.is_cold(now, block) && !self.cold_start_admits(now, block, units) {
+                MAX_IN_FLIGHT
             } else {
                 0.0
             };
-            let post = &self.posts[&block];
-            let shut = if post.until == f64::INFINITY && now >= post.next_try { 0.0 } else { 1e6 };
-            // Among equals each gets its part by size.
-            let race = (-self.chance.generate::<f64>().max(1e-9).ln() / post.size).min(20.0) / 40.0;
-            let credit = post.bound.floor() - post.out - post.held() - shut - slow_start - stay - race;
+            let node = &self.nodes[&block];
+            let closed_penalty =
+                if node.send_until == f64::INFINITY && now >= node.next_attempt_at { 0.0 } else { 1e6 };
+            // Equal nodes are selected in proportion to their size.
+            let random_penalty = (-self.rng.generate::<f64>().max(1e-9).ln() / node.size).min(20.0) / 40.0;
+            let credit = node.concurrency_limit.floor()
+                - node.in_flight
+                - node.waiting()
+                - closed_penalty
+                - cold_penalty
+                - latency_ratio
+                - random_penalty;
             best = if credit > best.0 { (credit, block) } else { best };
         }
-        self.post(best.1);
+        self.node_state(best.1);
         best.1
     }
 
-    /// Against a connection that falls silent though its node works: a shot far behind gives its credit back.
-    fn write_off(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        let late = self.transactions.get(&id).filter(|t| t.shot_out && now >= t.late_at - 1e-6);
-        let Some((block, sent_at)) = late.map(|t| (t.block, t.sent_at)) else { return };
-        let wait = now - sent_at;
-        // Slow answers of all nodes tell of a jam, not of a silence: looked at again after as long.
-        if self.quick.mean(now, 0.0) >= SLACK_PART {
-            self.transactions.get_mut(&id).unwrap().late_at = now + wait;
-            return out.set_timer(wait, id.0 << 2 | TAG_LATE);
-        }
-        self.account(now, id, now - sent_at, Outcome::TimedOut, out);
-        self.transactions.get_mut(&id).unwrap().late_at = f64::INFINITY;
-        self.pump(now, block, out);
-    }
-
-    fn give_up(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        let Some(t) = self.transactions.get(&id) else { return };
-        let Band { repeat, dedup_scope: scope, .. } = &self.set.bands[t.band.0];
-        let free = matches!((repeat, scope), (Repeat::Repeatable, _) | (Repeat::Tagged, DedupScope::All));
-        let harmless = !t.shot_out && (t.maybe_ran.is_none() || free);
-        if harmless {
-            let advice = if self.set.advises_retry { self.set.max_retry_after } else { 0.0 };
-            out.decline(id, advice);
+    /// Releases the credit of an overdue shot, as its connection may have stalled while the node works.
+    fn release_overdue_credit(&mut self, now: f64, id: TransactionId, outbox: &mut impl Outbox) {
+        let overdue = self
+            .transactions
+            .get(&id)
+            .filter(|transaction| transaction.shot_in_flight && now >= transaction.overdue_at - 1e-6);
+        let Some((block, sent_at)) = overdue.map(|transaction| (transaction.block, transaction.sent_at))
+        else {
+            return;
+        };
+        let elapsed = now - sent_at;
+        // Slow answers of all nodes mean a jam rather than a stalled connection: checks again after the same time.
+        if self.settled_latency.mean(now, 0.0) >= SLACK_LATENCY_BASE {
+            self.transactions.get_mut(&id).unwrap().overdue_at = now + elapsed;
+            return outbox.set_timer(elapsed, id.0 << 2 | TAG_OVERDUE);
+        }
+        self.record_outcome(now, id, now - sent_at, Outcome::TimedOut, outbox);
+        self.transactions.get_mut(&id).unwrap().overdue_at = f64::INFINITY;
+        self.dispatch(now, block, outbox);
+    }
+
+    /// Ends a transaction without success: declines it if it cannot have taken effect or may be repeated, scraps it
+    /// otherwise.
+    fn give_up(&mut self, now: f64, id: TransactionId, outbox: &mut impl Outbox) {
+        let Some(transaction) = self.transactions.get(&id) else { return };
+        let Band { repeat, dedup_scope, .. } = &self.settings.bands[transaction.band.0];
+        let repeat_harmless =
+            matches!((repeat, dedup_scope), (Repeat::Repeatable, _) | (Repeat::Tagged, DedupScope::All));
+        let no_effect =
+            !transaction.shot_in_flight && (transaction.may_have_run_since.is_none() || repeat_harmless);
+        if no_effect {
+            let retry_after = if self.settings.advises_retry { self.settings.max_retry_after } else { 0.0 };
+            outbox.decline(id, retry_after);
         } else {
-            out.scrap(id);
+            outbox.scrap(id);
         }
-        self.end(now, id, out);
+        self.finish(now, id, outbox);
     }
 
-    fn end(&mut self, now: f64, id: TransactionId, out: &mut impl Outbox) {
-        let Some(t) = self.transactions.get(&id) else { return };
-        let shot_out = t.shot_out;
-        self.shift(id, State::Finished);
-        if shot_out {
+    /// Marks a transaction as finished and, once no shot is in flight, removes it and lets the next one on its key
+    /// proceed.
+    fn finish(&mut self, now: f64, id: TransactionId, outbox: &mut impl Outbox) {
+        let Some(transaction) = self.transactions.get(&id) else { return };
+        let shot_in_flight = transaction.shot_in_flight;
+        self.set_state(id, State::Finished);
+        if shot_in_flight {
             return;
         }
-        let Some(extent) = self.transactions.remove(&id).and_then(|t| t.extent) else { return };
-        let Some(turn) = self.turns.get_mut(&extent) else { return };
-        turn.line.retain(|waiting| *waiting != id);
-        if let Some(next) = turn.line.front() {
+        let Some(extent) = self.transactions.remove(&id).and_then(|transaction| transaction.extent) else {
+            return;
+        };
+        let Some(key_queue) = self.key_queues.get_mut(&extent) else { return };
+        key_queue.queue.retain(|queued| *queued != id);
+        if let Some(next) = key_queue.queue.front() {
             let block = self.transactions[next].block;
-            self.pump(now, block, out);
-        } else if turn.quiet_until <= now {
-            self.turns.remove(&extent);
+            self.dispatch(now, block, outbox);
+        } else if key_queue.quiet_until <= now {
+            self.key_queues.remove(&extent);
         }
     }
 
-    // Guards of the rules.
-    /// No effect twice, shots within their number and budget.
-    fn may_send(&mut self, now: f64, id: TransactionId) -> bool {
-        let t = &self.transactions[&id];
-        if t.shots == 0 {
+    /// Whether a transaction may have another shot: no effect may occur twice, and the number of shots and the retry
+    /// budget must allow it.
+    fn may_send_shot(&mut self, now: f64, id: TransactionId) -> bool {
+        let transaction = &self.transactions[&id];
+        if transaction.shots == 0 {
             return true;
         }
-        let band = &self.set.bands[t.band.0];
-        let repeats = match (band.repeat, t.maybe_ran) {
+        let band = &self.settings.bands[transaction.band.0];
+        let may_repeat = match (band.repeat, transaction.may_have_run_since) {
             (_, None) | (Repeat::Repeatable, _) => true,
             (Repeat::OnceOnly, _) => false,
-            // The same block is the same cell, the smallest group there is.
+            // A repeat goes to the same block and so to the same cell, the smallest scope.
             (Repeat::Tagged, Some(sent_at)) => now < sent_at + band.dedup_window,
         };
-        let (share, free, _) = self.set.retry_budget.unwrap_or((0.0, f64::INFINITY, 0.0));
-        let budget = self.further.sum(now) + 1.0 <= free + share * self.taken.sum(now);
-        repeats && budget && !t.shot_out && t.shots < self.set.max_shots
+        let (share, free_retries, _) = self.settings.retry_budget.unwrap_or((0.0, f64::INFINITY, 0.0));
+        let within_budget = self.retries.sum(now) + 1.0 <= free_retries + share * self.received.sum(now);
+        may_repeat
+            && within_budget
+            && !transaction.shot_in_flight
+            && transaction.shots < self.settings.max_shots
     }
 
-    /// Key order, limits, cold nodes: when this transaction may be sent, infinity while that is open.
-    fn ready_at(&mut self, now: f64, id: TransactionId) -> f64 {
-        if !self.may_send(now, id) {
+    /// When this transaction may be sent by the rules on key order, limits and cold nodes; infinity if another
+    /// transaction on its key has to end first.
+    fn earliest_send(&mut self, now: f64, id: TransactionId) -> f64 {
+        if !self.may_send_shot(now, id) {
             return now + 0.02;
         }
         let name = self.transactions[&id].volume.clone();
-        self.fill(now, &name);
-        let t = &self.transactions[&id];
-        let (units, block, first) = (t.units, t.block, t.shots == 0);
-        let turn = t.extent.as_ref().filter(|_| self.set.bands[t.band.0].ordered);
-        if let Some(turn) = turn.and_then(|extent| self.turns.get(extent)) {
-            if turn.line.front() != Some(&id) {
+        self.refill(now, &name);
+        let transaction = &self.transactions[&id];
+        let (units, block, first_shot) = (transaction.units, transaction.block, transaction.shots == 0);
+        let key = transaction.extent.as_ref().filter(|_| self.settings.bands[transaction.band.0].ordered);
+        if let Some(key_queue) = key.and_then(|extent| self.key_queues.get(extent)) {
+            if key_queue.queue.front() != Some(&id) {
                 return f64::INFINITY;
             }
-            // The one that has the turn may be tried again without the rest.
-            if first && now < turn.quiet_until {
-                return turn.quiet_until;
+            // The transaction at the head may be retried without waiting for the end of the quiet period.
+            if first_shot && now < key_queue.quiet_until {
+                return key_queue.quiet_until;
             }
         }
-        let (volume, limit) = (&self.volumes[&t.volume], self.plan(&t.volume).limit);
-        if limit > 0.0 && first && volume.limit.level < units {
+        let (volume, limit) = (&self.volumes[&transaction.volume], self.plan(&transaction.volume).limit);
+        if limit > 0.0 && first_shot && volume.limit.level < units {
             return now + (units - volume.limit.level) * volume.initiators / limit;
         }
-        if self.cold(now, block) && !self.slow_start_admits(now, block, units) {
+        if self.is_cold(now, block) && !self.cold_start_admits(now, block, units) {
             return now + 0.05;
         }
         now
     }
 
-    fn cold(&self, now: f64, block: BlockId) -> bool {
-        self.posts.get(&block).is_some_and(|post| now < post.warm_at)
-    }
-
-    /// How many initiators send to one node, at most: by symmetry as large a part of them as of the nodes is
-    /// asked for here. What was not asked for yet is told by what was asked for once alone (Good and Turing).
-    /// And no fewer than one volume there comes through, however few nodes each of them is asked for.
-    fn users(&self, block: BlockId) -> f64 {
-        let asked = || self.asked.values().filter(|asked| **asked >= 1.0);
-        let (all, once) = (asked().sum::<f64>(), asked().filter(|asked| **asked < 2.0).sum::<f64>());
-        let nodes = (all - once) / all.max(1.0) * self.posts.len() as f64;
-        let mean = (asked().count() as f64).max(1.0) / nodes.max(1e-9) * self.set.initiators;
-        (mean + CROWDED * mean.sqrt()).max(self.posts[&block].hosts).min(self.set.initiators)
-    }
-
-    /// Whether a cold node bears this in the rule's window: an even part of what it bears when just up, or if
-    /// more a part of what the node before settled for this initiator, grown as the slowest node warms. Less
-    /// than a mean transaction is saved up until it is one, from a start by chance: initiators spread.
-    fn slow_start_admits(&mut self, now: f64, block: BlockId, units: f64) -> bool {
-        let (first, warm) = (self.set.start_capacity.clamp(0.01, 1.0), self.set.warm_up.max(0.01));
-        let (mean, window) = (self.set.mean_units, self.set.overload_window);
-        let bears = self.set.cold_start_units.max(mean) / self.users(block);
-        let phase = self.chance.generate::<f64>();
-        let post = self.posts.get_mut(&block).unwrap();
-        let age = (now - post.started - window).clamp(0.0, warm);
-        let warmth = first + (1.0 - first) * age / warm;
-        // Others may have taken over work that this initiator had long before the start.
-        let old = 2.0 * LONG / (post.started - post.earlier_rate_at).max(2.0 * LONG);
-        let earlier = EARLIER_PART * self.set.overload_multiple * post.earlier_rate * old * window;
-        let part = (bears / first).max(earlier) * warmth;
-        let (saved, at) = post.saved.unwrap_or((phase * mean, now));
-        let saved = (saved + part * (now - at) / window).min(units.max(mean));
-        post.saved = Some((saved, now));
+    fn is_cold(&self, now: f64, block: BlockId) -> bool {
+        self.nodes.get(&block).is_some_and(|node| now < node.warm_at)
+    }
+
+    /// Estimates the maximum number of initiators that send to one node. By symmetry, the part of the initiators
+    /// that use a node equals the part of the nodes that this initiator uses. Nodes not requested yet are estimated
+    /// from those requested only once (Good-Turing). The result is at least the number of initiators of any volume
+    /// at the node.
+    fn max_initiators(&self, block: BlockId) -> f64 {
+        let requests = || self.requests_per_block.values().filter(|requests| **requests >= 1.0);
+        let (total, once) =
+            (requests().sum::<f64>(), requests().filter(|requests| **requests < 2.0).sum::<f64>());
+        let used_nodes = (total - once) / total.max(1.0) * self.nodes.len() as f64;
+        let mean = (requests().count() as f64).max(1.0) / used_nodes.max(1e-9) * self.settings.initiators;
+        (mean + INITIATOR_DEVIATIONS * mean.sqrt())
+            .max(self.nodes[&block].max_volume_initiators)
+            .min(self.settings.initiators)
+    }
+
+    /// Whether a cold node can take these units within the overload window. The budget of this initiator is an even
+    /// part of what the node serves just after its start, or, if larger, a part of the rate that the previous node
+    /// settled for this initiator; it grows as the slowest node warms up. A budget smaller than a mean transaction
+    /// is saved up until it covers one, from a random initial level, so that the initiators do not send all at
+    /// once.
+    fn cold_start_admits(&mut self, now: f64, block: BlockId, units: f64) -> bool {
+        let (start_capacity, warm_up) =
+            (self.settings.start_capacity.clamp(0.01, 1.0), self.settings.warm_up.max(0.01));
+        let (mean_units, window) = (self.settings.mean_units, self.settings.overload_window);
+        let start_budget = self.settings.cold_start_units.max(mean_units) / self.max_initiators(block);
+        let random_part = self.rng.generate::<f64>();
+        let node = self.nodes.get_mut(&block).unwrap();
+        let age = (now - node.started - window).clamp(0.0, warm_up);
+        let warmth = start_capacity + (1.0 - start_capacity) * age / warm_up;
+        // Other initiators may have taken over work that this one had long before the start of the node.
+        let age_discount = 2.0 * RATE_SECONDS / (node.started - node.warm_rate_at).max(2.0 * RATE_SECONDS);
+        let earlier_budget =
+            EARLIER_RATE_SHARE * self.settings.overload_multiple * node.warm_rate * age_discount * window;
+        let budget = (start_budget / start_capacity).max(earlier_budget) * warmth;
+        let (savings, saved_at) = node.cold_start_savings.unwrap_or((random_part * mean_units, now));
+        let savings = (savings + budget * (now - saved_at) / window).min(units.max(mean_units));
+        node.cold_start_savings = Some((savings, now));
         now >= self.started + window
-            && (part - post.slow_start_sent.sum(now) >= units || (part < mean && saved >= units.max(mean)))
+            && (budget - node.cold_start_sent.sum(now) >= units
+                || (budget < mean_units && savings >= units.max(mean_units)))
     }
 
-    fn spread(&mut self) -> f64 {
-        0.75 + 0.5 * self.chance.generate::<f64>()
+    /// A random factor from 0.75 to 1.25.
+    fn jitter(&mut self) -> f64 {
+        0.75 + 0.5 * self.rng.generate::<f64>()
     }
 
-    fn fresh_post(&self) -> NodeState {
+    fn new_node_state(&self) -> NodeState {
         NodeState {
-            // The design's bound is one host's at a disk of its own; here all initiators share the node.
-            bound: (MOST_OUT / self.set.initiators).max(1.0),
-            strain: SlidingWindow::new(0.1, 5),
-            slow_start_sent: SlidingWindow::new(self.set.overload_window.max(0.1) / 8.0, 9),
-            settled: SlidingWindow::new(LONG / 8.0, 8),
+            // MAX_IN_FLIGHT is meant for one initiator with a node of its own; here all initiators share the node.
+            concurrency_limit: (MAX_IN_FLIGHT / self.settings.initiators).max(1.0),
+            settled_latency: SlidingWindow::new(0.1, 5),
+            cold_start_sent: SlidingWindow::new(self.settings.overload_window.max(0.1) / 8.0, 9),
+            settled_units: SlidingWindow::new(RATE_SECONDS / 8.0, 8),
             ..NodeState::default()
         }
     }
 
-    fn post(&mut self, block: BlockId) -> &mut NodeState {
-        let fresh = (!self.posts.contains_key(&block)).then(|| self.fresh_post());
-        self.posts.entry(block).or_insert_with(|| fresh.unwrap())
+    /// The state of the node that holds this block; created if the block is not known yet.
+    fn node_state(&mut self, block: BlockId) -> &mut NodeState {
+        let new_state = (!self.nodes.contains_key(&block)).then(|| self.new_node_state());
+        self.nodes.entry(block).or_insert_with(|| new_state.unwrap())
     }
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,70 +1,73 @@
-//! Units in store, added up: what fills at a rate up to a cap, and what initiators lent each other, each loan with an
-//! end on this process's clock. Nothing is decided here.
+//! Token buckets, which fill at a rate up to a cap, and the loans between the buckets of several initiators. Each
+//! loan expires at a time of this process's clock. The decisions on loans are made elsewhere.
 
-/// Units that came (positive) or went (negative), and up to when they count. A loan that went is of negative units
-/// until it has surely lapsed where it went to; one that came is of positive units until it lapses here.
+/// Units that were borrowed (positive) or lent (negative), each with the time at which the loan expires. A lent loan
+/// stays until it has certainly expired at the borrower; a borrowed one until it expires here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Loans(Vec<(f64, f64)>);
 
 impl Loans {
-    pub fn add(&mut self, units: f64, until: f64) {
-        self.0.push((units, until));
+    pub fn add(&mut self, units: f64, expires_at: f64) {
+        self.0.push((units, expires_at));
     }
 
-    /// Units that count at `now`, net.
+    /// Units borrowed less units lent, of the loans that have not expired at `now`.
     pub fn net(&self, now: f64) -> f64 {
-        self.0.iter().filter(|(_, until)| now < *until).map(|(units, _)| units).sum()
+        self.0.iter().filter(|(_, expires_at)| now < *expires_at).map(|(units, _)| units).sum()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes the loans that have expired.
     pub fn expire(&mut self, now: f64) {
-        self.0.retain(|(_, until)| now < *until);
+        self.0.retain(|(_, expires_at)| now < *expires_at);
     }
 
-    fn first_end(&self) -> f64 {
-        self.0.iter().map(|(_, until)| *until).fold(f64::INFINITY, f64::min)
+    fn first_expiry(&self) -> f64 {
+        self.0.iter().map(|(_, expires_at)| *expires_at).fold(f64::INFINITY, f64::min)
     }
 }
 
-/// A store that fills at a rate (units a second) up to a cap (units), which loans raise and lower.
+/// A bucket that fills at a rate (units per second) up to a cap (units). Loans raise and lower the cap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TokenBucket {
+    /// Units available.
     pub level: f64,
+    /// Clock time up to which the bucket has been filled, seconds.
     pub filled_at: f64,
     pub loans: Loans,
 }
 
 impl TokenBucket {
-    /// Piece by piece from one end of a loan to the next: a process that had no turn for long keeps nothing over
-    /// an end that passed meanwhile.
+    /// Fills the bucket up to `now`, step by step from one expiry of a loan to the next. So a process that did not
+    /// run for a long time keeps no units beyond a loan that expired in the meantime.
     pub fn refill(&mut self, now: f64, rate: f64, cap: f64) {
         loop {
-            let at = self.loans.first_end().min(now);
-            let held = (cap + self.loans.net(at.next_down())).max(0.0);
-            self.level = (self.level + rate * (at - self.filled_at).max(0.0)).min(held);
-            self.filled_at = self.filled_at.max(at);
-            self.loans.expire(at);
-            if at >= now {
+            let step_end = self.loans.first_expiry().min(now);
+            let current_cap = (cap + self.loans.net(step_end.next_down())).max(0.0);
+            self.level = (self.level + rate * (step_end - self.filled_at).max(0.0)).min(current_cap);
+            self.filled_at = self.filled_at.max(step_end);
+            self.loans.expire(step_end);
+            if step_end >= now {
                 self.level = self.level.min((cap + self.loans.net(now)).max(0.0));
                 return;
             }
         }
     }
 
-    /// All that it is, for an explorer to tell two states apart by.
+    /// Appends the complete state, by which a state space search recognises equal states.
     pub fn encode_state(&self, out: &mut Vec<u8>) {
-        let moved = self.loans.0.iter().flat_map(|(units, until)| [*units, *until]);
-        let all = [self.level, self.filled_at].into_iter().chain(moved);
-        all.for_each(|value| out.extend(value.to_bits().to_le_bytes()));
+        let loans = self.loans.0.iter().flat_map(|(units, expires_at)| [*units, *expires_at]);
+        let values = [self.level, self.filled_at].into_iter().chain(loans);
+        values.for_each(|value| out.extend(value.to_bits().to_le_bytes()));
     }
 
-    /// Moves units in or out; false, and nothing done, where there are too few.
-    pub fn transfer(&mut self, units: f64, until: f64) -> bool {
+    /// Adds borrowed units (positive) or removes lent ones (negative). Returns false, and changes nothing, if there
+    /// are too few to lend.
+    pub fn transfer(&mut self, units: f64, expires_at: f64) -> bool {
         if self.level + units < 0.0 {
             return false;
         }
         self.level += units;
-        self.loans.add(units, until);
+        self.loans.add(units, expires_at);
         true
     }
 }
@@ -74,25 +77,25 @@
     use super::*;
     use test_case::test_case;
 
-    /// Rate 1, cap 4, full at 0; a loan at 0 that counts up to 2.
-    #[test_case(2.0, 1.0, 6.0; "what came counts")]
-    #[test_case(2.0, 2.0, 4.0; "and lapses at its end")]
-    #[test_case(2.0, 9.0, 4.0; "also for one that had no turn since")]
-    #[test_case(-3.0, 1.0, 1.0; "what went is gone, and its room")]
-    #[test_case(-3.0, 2.0, 1.0; "up to its end")]
-    #[test_case(-3.0, 4.0, 3.0; "from where it fills again")]
+    /// The rate is 1 and the cap 4; the bucket is full at 0, and a loan of time 0 expires at 2.
+    #[test_case(2.0, 1.0, 6.0; "borrowed units are available")]
+    #[test_case(2.0, 2.0, 4.0; "and expire at the end of the loan")]
+    #[test_case(2.0, 9.0, 4.0; "also if the bucket was not filled in between")]
+    #[test_case(-3.0, 1.0, 1.0; "lent units lower the level and the cap")]
+    #[test_case(-3.0, 2.0, 1.0; "until the loan expires")]
+    #[test_case(-3.0, 4.0, 3.0; "after which the bucket fills again")]
     #[test_case(-3.0, 9.0, 4.0; "up to the cap")]
-    fn loans_end(units: f64, at: f64, level: f64) {
-        let mut store = TokenBucket { level: 4.0, ..TokenBucket::default() };
-        assert!(store.transfer(units, 2.0));
-        store.refill(at, 1.0, 4.0);
-        assert_eq!(store.level, level);
+    fn loans_expire(units: f64, now: f64, level: f64) {
+        let mut bucket = TokenBucket { level: 4.0, ..TokenBucket::default() };
+        assert!(bucket.transfer(units, 2.0));
+        bucket.refill(now, 1.0, 4.0);
+        assert_eq!(bucket.level, level);
     }
 
     #[test]
-    fn nothing_goes_that_is_not_there() {
-        let mut store = TokenBucket { level: 1.0, ..TokenBucket::default() };
-        assert!(!store.transfer(-2.0, 9.0));
-        assert_eq!(store, TokenBucket { level: 1.0, ..TokenBucket::default() });
+    fn more_units_than_available_are_not_lent() {
+        let mut bucket = TokenBucket { level: 1.0, ..TokenBucket::default() };
+        assert!(!bucket.transfer(-2.0, 9.0));
+        assert_eq!(bucket, TokenBucket { level: 1.0, ..TokenBucket::default() });
     }
 }
