--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -75,19 +75,26 @@
 
 /// The events that a gateway passes to its decision core. Parameters and units are those of [`Scheduler`].
 pub trait Core {
+    /// A node list was received, or a fetch failed.
     fn node_list_received(&mut self, now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions);
+    /// A transaction was received from a client. `budget` is its time until the outer limit, seconds.
     #[allow(clippy::too_many_arguments)] // the same parameters as in `Scheduler`
     fn transaction_received(
         &mut self, now: f64, id: TransactionId, initiators: f64, plan: Option<PlanId>, band: BandId,
         extent: Option<ExtentId>, budget: f64, units: f64, volume: VolumeId, block: Option<BlockId>,
         out: &mut Actions,
     );
+    /// A shot ended after `latency` seconds. `usage` and `others_units` are the volume's usage and the units served
+    /// through other initiators, and `report` is the load, as the node's answer reports them. `is_last` means that no
+    /// further shot of the transaction is wanted.
     #[allow(clippy::too_many_arguments)]
     fn shot_completed(
-        &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, used: f64, delay: f64, last: bool,
-        outcome: Outcome, others: f64, report: &[f64], out: &mut Actions,
+        &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, usage: f64, latency: f64,
+        is_last: bool, outcome: Outcome, others_units: f64, report: &[f64], out: &mut Actions,
     );
+    /// The client cancelled a transaction.
     fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut Actions);
+    /// A timer that the core set fired.
     fn timer_fired(&mut self, now: f64, tag: u64, out: &mut Actions);
     /// Numbers of volumes and of ordering keys that are tracked.
     fn tracked_counts(&self) -> (usize, usize);
@@ -129,10 +136,23 @@
         );
     }
     fn shot_completed(
-        &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, used: f64, delay: f64, last: bool,
-        outcome: Outcome, others: f64, report: &[f64], out: &mut Actions,
+        &mut self, now: f64, id: TransactionId, node: &NodeId, shot: u32, usage: f64, latency: f64,
+        is_last: bool, outcome: Outcome, others_units: f64, report: &[f64], out: &mut Actions,
     ) {
-        Scheduler::shot_completed(self, now, id, node, shot, used, delay, last, outcome, others, report, out);
+        Scheduler::shot_completed(
+            self,
+            now,
+            id,
+            node,
+            shot,
+            usage,
+            latency,
+            is_last,
+            outcome,
+            others_units,
+            report,
+            out,
+        );
     }
     fn client_cancelled(&mut self, now: f64, id: TransactionId, out: &mut Actions) {
         Scheduler::client_cancelled(self, now, id, out);
@@ -217,10 +237,10 @@
         self.send_shot(now, id, out);
     }
     fn shot_completed(
-        &mut self, now: f64, id: TransactionId, _node: &NodeId, _shot: u32, _used: f64, _delay: f64,
-        last: bool, outcome: Outcome, _others: f64, _report: &[f64], out: &mut Actions,
+        &mut self, now: f64, id: TransactionId, _node: &NodeId, _shot: u32, _usage: f64, _latency: f64,
+        is_last: bool, outcome: Outcome, _others_units: f64, _report: &[f64], out: &mut Actions,
     ) {
-        if last || outcome == Outcome::Settled {
+        if is_last || outcome == Outcome::Settled {
             self.open.remove(&id);
         } else {
             self.send_shot(now, id, out);
--- a/crates/initiator/src/counts.rs
+++ b/crates/initiator/src/counts.rs
@@ -2,23 +2,26 @@
 
 use crate::polls::PollSummary;
 
-/// Counters of an instance since its start. The field names are the keys of the logged JSON.
+/// Counters of an instance since its start. They are logged as JSON under their serialized names.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counts {
     /// Transactions accepted and passed to the core.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub transactions: u64,
     /// Commands refused before the core, because a bound of this instance was reached.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub refused: u64,
     /// Transactions settled by a node.
     pub settled: u64,
     pub declined: u64,
     pub scrapped: u64,
     /// Transactions cancelled by their client.
     #[serde(rename = "lapsed")]
-    pub cancelled: u64,
+    pub client_cancelled: u64,
     pub shots: u64,
     /// Shots after the first one of their transaction.
-    pub further: u64,
+    #[serde(rename = "further")]
+    pub further_shots: u64,
     /// Late answers that were recognised and dropped.
     pub late_answers: u64,
     /// Commands withdrawn from the output queue before their first byte was sent.
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -417,18 +417,18 @@
                 let Some(shot) = transaction.shot.take_if(|shot| shot.number == number) else { return };
                 let outcome = outcome(end, shot.progress);
                 let is_finished = transaction.client.is_none();
-                let (used, others) = (f64::from(report.used), f64::from(report.others));
-                let (delay, last) = (now - shot.sent_at, is_finished || outcome == Outcome::Settled);
+                let (usage, others_units) = (f64::from(report.used), f64::from(report.others));
+                let (latency, is_last) = (now - shot.sent_at, is_finished || outcome == Outcome::Settled);
                 self.core.shot_completed(
                     now,
                     TransactionId(id),
                     &shot.node,
                     number,
-                    used,
-                    delay,
-                    last,
+                    usage,
+                    latency,
+                    is_last,
                     outcome,
-                    others,
+                    others_units,
                     &[report.latency * 1e3],
                     out,
                 );
@@ -884,7 +884,7 @@
         let exceeds_held_bytes =
             client.requested_bytes + read_bytes + client.machine.out.len() > MAX_HELD_BYTES;
         if exceeds_held_bytes || self.transactions.len() >= deployment.listen.open {
-            self.counts.turned_away += 1;
+            self.counts.refused += 1;
             let retry_after_ms = (deployment.core.max_retry_after * 1e3) as u32;
             return self.respond(
                 connection,
@@ -929,7 +929,7 @@
         client.commands.insert(sqe.cid, id);
         client.requested_bytes += read_bytes;
         self.transactions.insert(id, transaction);
-        self.counts.taken += 1;
+        self.counts.transactions += 1;
         self.core_events.push_back(CoreEvent::TransactionReceived(id));
     }
 
@@ -988,7 +988,7 @@
             client.commands.remove(&cid);
             client.requested_bytes -= read_bytes;
         }
-        self.counts.cancelled += 1;
+        self.counts.client_cancelled += 1;
         self.core_events.push_back(CoreEvent::ClientCancelled(id));
         if is_finished {
             // The queued event for the core does not need the transaction.
@@ -1021,7 +1021,7 @@
         let (sent_at, progress) = (self.now, Progress::Connecting);
         transaction.shot = Some(Shot { number, node: node.clone(), progress, queued_on: None, sent_at });
         self.counts.shots += 1;
-        self.counts.further += u64::from(number > 0);
+        self.counts.further_shots += u64::from(number > 0);
         if transaction.client.is_none() || stop_at <= self.now {
             return self.end_shot(id, number, ShotEnd::TimedOut, Told::default());
         }
