--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -80,7 +80,7 @@
 }
 
 /// Keeps the node list up to date from one discovery address, until another address has replaced it. `source` is the number
-/// of the address, counted from 0 by configurations.
+/// of the address: 0 for the first configuration, and one more for each configuration reloaded since.
 pub async fn watch_loop(instance: WeakInstance, address: SocketAddr, source: u64) {
     loop {
         let grace = instance.upgrade().map(|this| this.borrow().config.transport.drain_grace);
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -115,6 +115,7 @@
         self.answered.notify();
     }
 
+    /// Waits for the answer and takes it.
     async fn wait(&self) -> FinalAnswer {
         loop {
             if let Some(answer) = self.answer.borrow_mut().take() {
@@ -168,7 +169,7 @@
         self.instance.upgrade().ok_or(io::ErrorKind::NotConnected.into())
     }
 
-    /// Sets the state of the connection and returns the current time.
+    /// Sets the state of the connection and returns the current time. A fresh connection does not become idle.
     fn enter(&self, state: ConnectionState) -> io::Result<f64> {
         let this = self.instance()?;
         let mut this = this.borrow_mut();
@@ -182,6 +183,7 @@
         Ok(now)
     }
 
+    /// Serves the requests of the connection one after the other until it ends.
     async fn run(&mut self) -> io::Result<()> {
         loop {
             let Some((request, memory)) = self.next_request().await? else { return Ok(()) };
@@ -367,6 +369,7 @@
         Ok(!close)
     }
 
+    /// Writes to the client within the write timeout.
     async fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = &*self.stream;
         with_timeout(WRITE_TIMEOUT, async { stream.write_all(bytes).await }).await
@@ -374,7 +377,8 @@
 
     /// Sends an error response for a request that is invalid or cannot be served, and closes the connection.
     async fn reject(&mut self, status: u16, reason: &str) -> io::Result<()> {
-        // The bytes received so far are released at once, because many such connections may wait for their close.
+        // Nothing more is decoded of what the client sent, which may be much, and it is released at once, because many such
+        // connections may be waiting for their close.
         self.decoder = RequestDecoder::default();
         if let Some(this) = self.instance.upgrade() {
             this.borrow_mut().counts.rejected += 1;
--- a/crates/platform/src/idle_reuse.rs
+++ b/crates/platform/src/idle_reuse.rs
@@ -7,7 +7,8 @@
 /// response that arrives on a connection in use is taken for that of the next request. A second response therefore has to
 /// arrive, and be noticed, before the connection is reused.
 pub const MIN_IDLE_TIME: f64 = 0.05;
-/// Upper end of the first class of idle times, seconds. Each further class covers idle times up to twice as long.
+/// Lower end of the first class of idle times, seconds; shorter idle times are counted in it too. Each further class begins
+/// at twice the idle time.
 const FIRST_CLASS_IDLE_TIME: f64 = 0.001;
 /// Devices on the path that track connections may drop an idle connection far sooner than the settings say, and without
 /// notice. Connections that were idle for too long to survive that are therefore not reused. A class of idle times is too
@@ -19,7 +20,7 @@
 /// Number of classes of idle times.
 const CLASSES: usize = 16;
 
-/// Statistics of reused connections over the last 15 s: for each class of idle times the share of uses that lost the
+/// Statistics of reused connections over the last 12 to 15 s: for each class of idle times the share of uses that lost the
 /// request.
 pub struct IdleReuse(Vec<SlidingWindow>);
 
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -55,8 +55,8 @@
 const REFUSAL_SHARE: f64 = 0.04;
 const MIN_REFUSALS: usize = 4;
 /// Time that the gateway waits for discovery's first list before it reports that it is ready, seconds. What the discovery
-/// agent knows counts as reported to the gateway from the moment that it is ready; if discovery is silent, nothing was
-/// reported.
+/// agent knows counts as reported to the gateway from the first moment of the process; if discovery is silent, it has
+/// reported nothing.
 const FIRST_LIST_TIMEOUT: f64 = 1.0;
 /// Share of the memory for the bodies of all requests together, and the same share again for those of all responses.
 const BODY_MEMORY_SHARE: f64 = 0.2;
@@ -93,7 +93,8 @@
     /// Connections to nodes that were attempted.
     pub connects: u64,
     pub connects_failed: u64,
-    /// Idle connections that were closed instead of reused.
+    /// Idle connections to nodes that were closed instead of reused: they were idle for too long, had ended, or held bytes that
+    /// were not requested.
     pub stale: u64,
     /// Shots by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
@@ -132,6 +133,7 @@
     TimerFired(u64),
 }
 
+/// What a timer of the instance is for.
 enum Timer {
     /// A timer of the core, by its tag.
     Core(u64),
@@ -161,6 +163,7 @@
     pub node: NodeId,
     /// Time at which it is stopped, seconds.
     pub stop_at: f64,
+    /// Time at which the core sent it, seconds.
     pub sent_at: f64,
     progress: Cell<Progress>,
     end: Cell<Option<ShotEnd>>,
@@ -203,6 +206,7 @@
     _memory: MemoryPermit,
 }
 
+/// A transaction without a final answer, or with a shot in flight.
 struct OpenTransaction {
     request_id: HashedId,
     /// Passes the final answer to the client; `None` once it is given or the client has disconnected.
@@ -299,7 +303,9 @@
     }
 }
 
+/// The instance as its owner holds it.
 pub type SharedInstance = Rc<RefCell<Instance>>;
+/// The instance as its tasks refer to it.
 pub type WeakInstance = Weak<RefCell<Instance>>;
 
 /// One gateway on one core. Times are in seconds on its clock, which counts from 1970.
@@ -319,6 +325,7 @@
     open: BTreeMap<u64, OpenTransaction>,
     next_id: u64,
     replay_window: ReplayWindow,
+    /// Client connections by number.
     pub clients: BTreeMap<u64, ClientConnection>,
     next_client: u64,
     max_clients: usize,
@@ -457,10 +464,11 @@
         instance
     }
 
+    /// Calls the method of the core for an event.
     fn pass_to_core(&mut self, event: CoreEvent) {
         let (now, out) = (self.now, &mut self.actions);
         match event {
-            CoreEvent::NodeList(scope, entries) => self.core.node_list_received(now, scope, &entries, out),
+            CoreEvent::NodeList(kind, entries) => self.core.node_list_received(now, kind, &entries, out),
             CoreEvent::TransactionReceived(id) => {
                 let Some(transaction) = self.open.get(&id) else { return };
                 self.core.transaction_received(
@@ -508,6 +516,7 @@
         }
     }
 
+    /// Executes an action that the core requested.
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send(id, stop_at, node) => self.send(id, stop_at, node),
@@ -628,6 +637,7 @@
 
     // Shots.
 
+    /// Starts a task for the next shot of a transaction.
     fn send(&mut self, id: u64, stop_at: f64, node: NodeId) {
         let Some(transaction) = self.open.get_mut(&id) else { return };
         let stop_at =
@@ -659,6 +669,7 @@
         }
     }
 
+    /// Ends the shot with this number if it is in flight.
     fn end_shot(&mut self, id: u64, number: u32, end: ShotEnd) {
         let shot = self.open.get(&id).and_then(|transaction| transaction.shot.as_ref());
         shot.filter(|shot| shot.number == number).into_iter().for_each(|shot| shot.end(end));
@@ -717,7 +728,9 @@
         true
     }
 
-    fn apply_list(&mut self, listing: &Listing, scope: ListKind, older: bool) {
+    /// Applies a list or changes to the nodes and passes them to the core. `older` is set if the version of the list is older
+    /// than that of the known one.
+    fn apply_list(&mut self, listing: &Listing, kind: ListKind, older: bool) {
         let now = self.now;
         self.removed_nodes.retain(|_, (_, removed_at)| now - *removed_at < REMOVED_NODE_RETENTION);
         let mut entries = Vec::new();
@@ -738,9 +751,10 @@
             {
                 continue;
             }
-            let same_start = self.nodes.get(&name).filter(|node| node.started >= started);
+            // The node as it is known, unless it has restarted since.
+            let known_node = self.nodes.get(&name).filter(|node| node.started >= started);
             let condition = match endpoint.status {
-                Status::InService if older && same_start.is_some_and(Node::is_draining) => {
+                Status::InService if older && known_node.is_some_and(Node::is_draining) => {
                     NodeCondition::Draining
                 }
                 Status::InService => NodeCondition::Ready,
@@ -763,7 +777,7 @@
                     } else {
                         // Only a change says that the node drains from now on; a whole list may report a drain that began
                         // long ago.
-                        let since = if scope == ListKind::Changes { now } else { f64::NEG_INFINITY };
+                        let since = if kind == ListKind::Changes { now } else { f64::NEG_INFINITY };
                         node.draining_since.get_or_insert(since);
                         node.pool.clear();
                     }
@@ -771,14 +785,14 @@
             }
             entries.push((name, BlockId(endpoint.group), condition, started, endpoint.weight));
         }
-        if scope != ListKind::Changes {
+        if kind != ListKind::Changes {
             let listed: BTreeSet<&NodeId> = entries.iter().map(|(name, ..)| name).collect();
             let removed: Vec<NodeId> =
                 self.nodes.keys().filter(|name| !listed.contains(name)).cloned().collect();
             removed.iter().for_each(|name| self.remove_node(name));
         }
-        debug!(index = listing.index, ?scope, entries = entries.len(), "list");
-        self.events.push_back(CoreEvent::NodeList(scope, entries));
+        debug!(index = listing.index, scope = ?kind, entries = entries.len(), "list");
+        self.events.push_back(CoreEvent::NodeList(kind, entries));
     }
 
     /// Removes a node that is no longer listed.
@@ -890,6 +904,7 @@
             .for_each(|client| client.set_state(ConnectionState::Closing, now));
     }
 
+    /// Closes connections to nodes and clients that are idle for too long.
     fn sweep(&mut self) {
         let node_idle_timeout = self.config.transport.node_idle_timeout;
         let now = self.now;
@@ -916,6 +931,7 @@
     }
 }
 
+/// The name of an outcome in the counts.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Settled => "settled",
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -45,8 +45,8 @@
 const MAX_COUNTED_DEADLINE: f64 = 3.0;
 const KILL_DELAY: f64 = 0.7;
 /// The time before the kill from which on connections are closed after the answer that they are used for, seconds. Such a
-/// close cannot cross the client's next request on the connection, as the close of an idle connection can. Before this time
-/// clients keep their connections, because they find no other gateway on them.
+/// close cannot cross the client's next request on the connection, as the close of an idle connection can. Until this time the
+/// connections stay open, because on the connections that they have clients reach no other gateway.
 const DRAIN_LEAD: f64 = 1.2;
 /// The time before the kill from which on connections that are still idle are closed, seconds.
 const CLOSE_IDLE_LEAD: f64 = 0.6;
@@ -100,6 +100,7 @@
     Ok(counts)
 }
 
+/// Accepts client connections; beyond the limit it refuses them.
 async fn accept_clients(instance: WeakInstance, executor: WeakExecutor, listener: Async<TcpListener>) {
     loop {
         let (stream, peer) = accept_next(&listener).await;
@@ -144,8 +145,9 @@
     info!(counts, nodes = nodes.join(" "), "counts");
 }
 
-/// Handles signals for as long as the process runs: SIGTERM is passed on to `terminate`, SIGHUP reloads the configuration. It
-/// does so after SIGTERM too, because nodes may drain that only the new discovery address lists.
+/// Handles signals for as long as the process runs: SIGTERM is passed on to `terminate`, SIGHUP reloads the configuration. A
+/// configuration that is reloaded after SIGTERM takes effect too: drains that only its discovery address reports are
+/// observed to the end.
 async fn handle_signals(
     instance: WeakInstance, mut signals: Signals, executor: WeakExecutor, terminate: Rc<Notify>,
 ) {
@@ -175,13 +177,13 @@
 }
 
 /// Shuts down in stages before the kill: serves as before, then closes connections after their answers, then closes idle
-/// connections, and answers the remaining transactions. It accepts connections to the end, because the platform counts a
-/// connection that the kernel has accepted as accepted by the gateway.
+/// connections, and answers the remaining transactions. It accepts connections to the end, because a connection that the
+/// kernel has accepted counts as accepted by the gateway.
 async fn shut_down(instance: &SharedInstance) {
     let notice = instance.borrow().config.transport.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
     info!(notice, "stopping");
     let started = Instant::now();
-    // With short deadlines the first stages begin at once.
+    // With short deadlines some stages begin at once.
     let before_kill = |lead: f64| Timer::at(started + Duration::from_secs_f64((notice - lead).max(0.0)));
     before_kill(DRAIN_LEAD).await;
     run_turn(instance, |this| this.advance_shutdown(ShutdownStage::Draining));
