--- a/crates/initiator/src/timer_wheel.rs
+++ b/crates/initiator/src/timer_wheel.rs
@@ -47,8 +47,8 @@
         Self::with_resolution(now, TICKS_PER_SECOND)
     }
 
-    /// Like [`TimerWheel::new`], with a resolution in ticks per second. At 65,536 ticks per second, a
-    /// timer later than 12 days is placed as if it were 12 days away.
+    /// Like [`TimerWheel::new`], with a resolution in ticks per second. At 65,536 ticks per second, a timer later than
+    /// 12 days is placed as if it were 12 days away.
     pub fn with_resolution(now: f64, ticks_per_second: f64) -> Self {
         TimerWheel {
             ticks_per_second,
@@ -86,7 +86,7 @@
         }
         let max_tick = self.tick + (1 << (LEVEL_BITS * LEVELS as u32)) - 1;
         let tick = entry.tick.min(max_tick);
-        // The lowest level at which this tick and the current tick lie in different slots.
+        // The highest level at which this tick and the current tick lie in different slots.
         let level = ((63 - (tick ^ self.tick).leading_zeros()) / LEVEL_BITS) as usize;
         let level = level.min(LEVELS - 1);
         let slot = (tick >> (LEVEL_BITS * level as u32)) as usize % SLOTS;
