--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -70,7 +70,7 @@
     /// Folder for record, node lists and logs; a new one in the system's temporary folder by default
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// Record to judge together with that of the fleet at the end; exits with 1 if a rule is broken
+    /// Record to judge together with that of the fleet at the end, can be repeated; exits with 1 if a rule is broken
     #[arg(long)]
     judge: Vec<PathBuf>,
 }
@@ -97,8 +97,8 @@
     #[arg(long, default_value_t = 40.0)]
     lasts: f64,
     /// Run the baseline for comparison: each member sends heartbeats to all others, and all members probe all nodes
-    #[arg(long)]
-    careless: bool,
+    #[arg(long = "careless")]
+    baseline: bool,
     /// Folder for record, node lists and logs; a new one in the system's temporary folder by default
     #[arg(long)]
     folder: Option<PathBuf>,
@@ -109,8 +109,8 @@
     /// The day, XML by quaypath.xsd
     day: PathBuf,
     /// Run the baseline that keeps no rule in the gateways, to check that the judge finds the breaches
-    #[arg(long)]
-    careless: bool,
+    #[arg(long = "careless")]
+    baseline: bool,
     /// What gateways report and lend to each other, in place of the settings': none, news, parts or all
     #[arg(long)]
     signals: Option<String>,
@@ -126,14 +126,21 @@
 }
 
 /// Options of a run; the gateway program is expected in the folder of this program.
-fn options(path: &Path, day: &Day, folder: &Path, careless: bool) -> Result<run::Options, String> {
+fn options(path: &Path, day: &Day, folder: &Path, baseline: bool) -> Result<run::Options, String> {
     let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
     let gateway = own_path.with_file_name("quaypath-gateway");
     if !gateway.exists() {
         return Err(format!("{}: gateway program not found; build the whole workspace", gateway.display()));
     }
     let deployment = path.parent().unwrap_or(Path::new("")).join(&day.deployment);
-    Ok(run::Options { gateway, deployment, folder: folder.into(), careless, signals: None, without: None })
+    Ok(run::Options {
+        gateway,
+        deployment,
+        folder: folder.into(),
+        careless: baseline,
+        signals: None,
+        without: None,
+    })
 }
 
 fn run_day(arguments: Run) -> Result<bool, String> {
@@ -141,7 +148,7 @@
     let default_folder = std::env::temp_dir().join(format!("quaypath-day-{}", std::process::id()));
     let folder_given = arguments.folder.is_some();
     let folder = arguments.folder.unwrap_or(default_folder);
-    let options = options(&arguments.day, &day, &folder, arguments.careless)?;
+    let options = options(&arguments.day, &day, &folder, arguments.baseline)?;
     let options = run::Options { signals: arguments.signals, without: arguments.without, ..options };
     let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
     let (gateway_counts, memory, clients) = (&outcome.books, &outcome.memory, &outcome.tally);
@@ -296,7 +303,7 @@
             }
         }
     }
-    let mut options = options(&arguments.day, &day, &folder, arguments.careless)?;
+    let mut options = options(&arguments.day, &day, &folder, arguments.baseline)?;
     options.deployment = resized;
     let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
     let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -54,8 +54,8 @@
     #[arg(long)]
     until_stdin_closes: bool,
     /// Run the baselines in place of the cores, which keep no rule and no promise; for comparison only
-    #[arg(long)]
-    careless: bool,
+    #[arg(id = "careless", long = "careless")]
+    baseline: bool,
     /// Address to receive the fleet's datagrams on, in place of this number's in the settings
     #[arg(long)]
     fleet_listen: Option<SocketAddr>,
@@ -167,7 +167,7 @@
         message_cost: 0.0,
         disabled_safeguard: arguments.without,
     };
-    (signalled != Signalled::None && !arguments.careless).then_some(own_config)
+    (signalled != Signalled::None && !arguments.baseline).then_some(own_config)
 }
 
 /// Options of this gateway as a member of the fleet, with its socket bound.
@@ -222,7 +222,7 @@
         seed,
         name: format!("nqn.2026-12.example.quaypath:initiator:{number}"),
         probe_timeout: deployment.connections.connect,
-        baseline: arguments.careless,
+        baseline: arguments.baseline,
         skewed_clock: SkewedClock::default(),
         signals: signal_config(arguments, talk, seed),
         signal_control: SignalControl::default(),
@@ -266,7 +266,7 @@
         number: arguments.number,
         seed,
         list_path,
-        core_factory: if arguments.careless { core::baseline } else { core::scheduler },
+        core_factory: if arguments.baseline { core::baseline } else { core::scheduler },
         fleet,
     };
     print_line!("listening {address}");
--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -119,14 +119,14 @@
     #[arg(long, default_value_t = 0.99)]
     part: f64,
     /// Highest rate to try, operations per second
-    #[arg(long, default_value_t = 20_000.0)]
-    most: f64,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 20_000.0)]
+    max_rate: f64,
     /// Duration of a trial, seconds
     #[arg(long, default_value_t = 10.0)]
     lasts: f64,
     /// Time between trials, seconds
-    #[arg(long, default_value_t = 2.0)]
-    rest: f64,
+    #[arg(long = "rest", value_name = "REST", default_value_t = 2.0)]
+    pause: f64,
     /// Maximum number of trials at one rate
     #[arg(long, default_value_t = 3)]
     repeats: u32,
@@ -477,7 +477,7 @@
     let mut search = Knee::new(Bar {
         part: arguments.part,
         from,
-        most: arguments.most,
+        most: arguments.max_rate,
         precision: arguments.precision.clamp(0.001, 0.5),
         repeats: arguments.repeats.max(1),
     });
@@ -493,7 +493,7 @@
             report::milliseconds(all.meant.value_at_quantile(0.99) as f64 / 1e6)
         );
         search.took(measured);
-        std::thread::sleep(std::time::Duration::from_secs_f64(arguments.rest.clamp(0.0, 600.0)));
+        std::thread::sleep(std::time::Duration::from_secs_f64(arguments.pause.clamp(0.0, 600.0)));
     }
     running.end()?;
     let criterion = format!("{} of {} in time", arguments.part, arguments.band);
