--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,4 +1,5 @@
-//! The text wire: decoded fields go straight into calls of the core, its actions straight into lines.
+//! The text wire: reads batches of events line by line, decodes their fields into calls of the decision cores, and
+//! writes the actions of the cores as lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -17,23 +18,24 @@
 use quaypath_fleet::MemberId;
 use quaypath_settings::pairs::{self, Names, Pairs};
 
-/// Tag of the signals' timer: one that the core never sets.
-const SIGNALS: u64 = u64::MAX >> 1;
+/// Tag of the timer for the signals. The core never sets this tag.
+const SIGNALS_TIMER_TAG: u64 = u64::MAX >> 1;
 
-/// The lines that one instance answers with; `BY` goes out before its first one.
+/// The lines with which an instance replies. A `BY` line with its name precedes the first one.
 struct Reply<'a> {
     text: &'a mut String,
     initiator: &'a str,
-    named: &'a mut bool,
-    /// What the core saw of nodes in this event.
-    seen: Vec<(BlockId, f64)>,
+    /// The `BY` line has been written.
+    by_written: &'a mut bool,
+    /// Latency ratios at nodes that the core observed in this event.
+    latencies: Vec<(BlockId, f64)>,
 }
 
 impl Reply<'_> {
-    fn line(&mut self, line: std::fmt::Arguments) {
-        if !*self.named {
+    fn write_line(&mut self, line: std::fmt::Arguments) {
+        if !*self.by_written {
             let _ = writeln!(self.text, "BY {}", self.initiator);
-            *self.named = true;
+            *self.by_written = true;
         }
         let _ = self.text.write_fmt(line);
         self.text.push('\n');
@@ -42,73 +44,75 @@
 
 impl Outbox for Reply<'_> {
     fn send(&mut self, transaction: TransactionId, stop_at: f64, node: &NodeId) {
-        self.line(format_args!("FORWARD {} {stop_at:.6} {}", transaction.0, node.0));
+        self.write_line(format_args!("FORWARD {} {stop_at:.6} {}", transaction.0, node.0));
     }
     fn cancel(&mut self, transaction: TransactionId, shot: u32) {
-        self.line(format_args!("RETRACT {} {shot}", transaction.0));
+        self.write_line(format_args!("RETRACT {} {shot}", transaction.0));
     }
-    fn decline(&mut self, transaction: TransactionId, come_back: f64) {
-        self.line(format_args!("SAY_NO {} {come_back:.6}", transaction.0));
+    fn decline(&mut self, transaction: TransactionId, retry_after: f64) {
+        self.write_line(format_args!("SAY_NO {} {retry_after:.6}", transaction.0));
     }
     fn scrap(&mut self, transaction: TransactionId) {
-        self.line(format_args!("FINISH_ERROR {}", transaction.0));
+        self.write_line(format_args!("FINISH_ERROR {}", transaction.0));
     }
     fn set_timer(&mut self, after: f64, tag: u64) {
-        self.line(format_args!("SET_TIMER {after:.6} {tag}"));
+        self.write_line(format_args!("SET_TIMER {after:.6} {tag}"));
     }
     fn subscribe(&mut self, on: bool) {
-        self.line(format_args!("KEEP_INFORMED {}", u8::from(on)));
+        self.write_line(format_args!("KEEP_INFORMED {}", u8::from(on)));
     }
     fn fetch_node_list(&mut self) {
-        self.line(format_args!("LOOKUP"));
+        self.write_line(format_args!("LOOKUP"));
     }
     fn probe(&mut self, node: &NodeId) {
-        self.line(format_args!("PROBE {}", node.0));
+        self.write_line(format_args!("PROBE {}", node.0));
     }
     fn close(&mut self, node: &NodeId) {
-        self.line(format_args!("CLOSE {}", node.0));
+        self.write_line(format_args!("CLOSE {}", node.0));
     }
     fn send_to_peer(&mut self, initiator: Option<u64>, payload: &[u8]) {
         let hex: String = payload.iter().map(|byte| format!("{byte:02x}")).collect();
         match initiator {
-            Some(one) => self.line(format_args!("SIGNAL {one} {hex}")),
-            None => self.line(format_args!("SIGNAL all {hex}")),
+            Some(peer) => self.write_line(format_args!("SIGNAL {peer} {hex}")),
+            None => self.write_line(format_args!("SIGNAL all {hex}")),
         }
     }
-    fn latency_observed(&mut self, block: BlockId, stay: f64) {
-        self.seen.push((block, stay));
+    fn latency_observed(&mut self, block: BlockId, latency_ratio: f64) {
+        self.latencies.push((block, latency_ratio));
     }
     fn log(&mut self, text: &str) {
-        self.line(format_args!("DEBUG {}", text.replace(['\n', '\r'], " ")));
+        self.write_line(format_args!("DEBUG {}", text.replace(['\n', '\r'], " ")));
     }
 }
 
-/// One decoded line: the message's name and its values, read by position.
+/// A decoded line: the name of the message and its values, which are read by position.
 struct Fields<'a> {
     name: &'a str,
     values: Vec<&'a str>,
 }
 
 impl<'a> Fields<'a> {
+    /// Splits a line at its spaces.
     fn split(line: &'a str) -> Self {
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         let values = if rest.is_empty() { Vec::new() } else { rest.split(' ').collect() };
         Fields { name, values }
     }
 
-    fn exactly(&self, count: usize) -> Result<(), String> {
+    fn expect_count(&self, count: usize) -> Result<(), String> {
         if self.values.len() == count {
             return Ok(());
         }
         Err(format!("{}: {} fields, {count} expected", self.name, self.values.len()))
     }
 
-    fn text(&self, at: usize) -> Option<&'a str> {
-        self.values.get(at).copied().filter(|text| *text != "-" && !text.is_empty())
+    /// The text of a value; None for `-`, an empty or an absent value.
+    fn text(&self, index: usize) -> Option<&'a str> {
+        self.values.get(index).copied().filter(|text| *text != "-" && !text.is_empty())
     }
 
-    fn value<T: FromStr>(&self, at: usize, field: &str) -> Result<Option<T>, String> {
-        match self.text(at) {
+    fn value<T: FromStr>(&self, index: usize, field: &str) -> Result<Option<T>, String> {
+        match self.text(index) {
             None => Ok(None),
             Some(text) => match text.parse() {
                 Ok(value) => Ok(Some(value)),
@@ -117,32 +121,34 @@
         }
     }
 
-    fn needed<T: FromStr>(&self, at: usize, field: &str) -> Result<T, String> {
-        self.value(at, field)?.ok_or_else(|| format!("{}: field {field} is missing", self.name))
+    fn required<T: FromStr>(&self, index: usize, field: &str) -> Result<T, String> {
+        self.value(index, field)?.ok_or_else(|| format!("{}: field {field} is missing", self.name))
     }
 
-    fn time(&self, at: usize, field: &str) -> Result<f64, String> {
-        let time: f64 = self.value(at, field)?.unwrap_or(0.0);
+    /// A time in seconds; 0 if the value is absent.
+    fn time(&self, index: usize, field: &str) -> Result<f64, String> {
+        let time: f64 = self.value(index, field)?.unwrap_or(0.0);
         if time.is_finite() {
             return Ok(time);
         }
         Err(format!("{}: field {field}: not a finite number", self.name))
     }
 
-    fn flag(&self, at: usize, field: &str) -> Result<bool, String> {
-        match self.text(at) {
+    /// A flag, written 0 or 1; false if the value is absent.
+    fn flag(&self, index: usize, field: &str) -> Result<bool, String> {
+        match self.text(index) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("{}: field {field}: cannot read '{other}'", self.name)),
+            Some(text) => Err(format!("{}: field {field}: cannot read '{text}'", self.name)),
         }
     }
 
-    fn node(&self, at: usize) -> Result<NodeId, String> {
-        Ok(NodeId(Arc::from(self.needed::<String>(at, "Target")?)))
+    fn node(&self, index: usize) -> Result<NodeId, String> {
+        Ok(NodeId(Arc::from(self.required::<String>(index, "Target")?)))
     }
 
-    fn outcome(&self, at: usize) -> Result<Outcome, String> {
-        Ok(match self.needed::<String>(at, "Status")?.as_str() {
+    fn outcome(&self, index: usize) -> Result<Outcome, String> {
+        Ok(match self.required::<String>(index, "Status")?.as_str() {
             "Ok" => Outcome::Settled,
             "Failed" => Outcome::Failed,
             "QueueFull" => Outcome::QueueFull,
@@ -151,14 +157,15 @@
             "ResetByPeer" => Outcome::Reset,
             "Canceled" => Outcome::Cancelled,
             "Ignored" => Outcome::Abandoned,
-            other => return Err(format!("{}: field Status: unknown outcome '{other}'", self.name)),
+            unknown => return Err(format!("{}: field Status: unknown outcome '{unknown}'", self.name)),
         })
     }
 
-    fn report(&self, at: usize) -> Result<Vec<f64>, String> {
-        let text = self.text(at).unwrap_or("");
-        let parts = text.split(',').filter(|part| !part.is_empty() && *part != "-");
-        parts
+    /// The numbers of a load report, which are separated by commas.
+    fn report(&self, index: usize) -> Result<Vec<f64>, String> {
+        let text = self.text(index).unwrap_or("");
+        let numbers = text.split(',').filter(|part| !part.is_empty() && *part != "-");
+        numbers
             .map(|part| {
                 part.parse().map_err(|_| format!("{}: field Metrics: cannot read '{part}'", self.name))
             })
@@ -166,26 +173,27 @@
     }
 }
 
+/// The decision core of an initiator, with its peer signals.
 struct Instance {
-    brain: Scheduler,
+    scheduler: Scheduler,
     names: Names,
-    /// Where initiators may talk.
+    /// Present if initiators may communicate with each other.
     signals: Option<Signals>,
 }
 
-/// The core's accounts, and the wire, as signals use them.
-struct Books<'a, 'b>(&'a mut Scheduler, &'a mut Reply<'b>);
+/// The access of the signals to the core and to the wire.
+struct SignalContext<'a, 'b>(&'a mut Scheduler, &'a mut Reply<'b>);
 
-impl Ledger for Books<'_, '_> {
+impl Ledger for SignalContext<'_, '_> {
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
         self.0.limit_balances(now)
     }
-    fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
-        self.0.peer_report_received(now, PeerReport::Units(account, units, until), self.1)
+    fn transfer(&mut self, now: f64, limit_id: LimitId, units: f64, expires_at: f64) -> bool {
+        self.0.peer_report_received(now, PeerReport::Units(limit_id, units, expires_at), self.1)
     }
 }
 
-impl SignalHost for Books<'_, '_> {
+impl SignalHost for SignalContext<'_, '_> {
     fn send_signal(&mut self, to: MemberId, bytes: &[u8]) {
         self.1.send_to_peer(Some(u64::from(to.0)), bytes);
     }
@@ -199,25 +207,26 @@
 }
 
 impl Instance {
-    /// Runs what is due of the signals, and sets their timer anew.
-    fn settle(&mut self, now: f64, out: &mut Reply) {
+    /// Runs the signal work that is due and sets the timer for the next.
+    fn run_signals(&mut self, now: f64, outbox: &mut Reply) {
         let Some(signals) = &mut self.signals else { return };
-        let seen = std::mem::take(&mut out.seen);
-        if let Some(at) = signals.run_due(now, seen, &mut Books(&mut self.brain, out)) {
-            out.set_timer(at - now, SIGNALS);
+        let latencies = std::mem::take(&mut outbox.latencies);
+        if let Some(due_at) = signals.run_due(now, latencies, &mut SignalContext(&mut self.scheduler, outbox))
+        {
+            outbox.set_timer(due_at - now, SIGNALS_TIMER_TAG);
         }
     }
 }
 
-/// The signals of an instance, where its settings allow them and tell which one it is.
-fn signals(pairs: &Pairs, now: f64, seed: u64) -> Result<Option<Signals>, String> {
-    let (me, all) = (pairs.optional::<u16>("Me")?, pairs.needed::<f64>("Balancers")?);
-    let Some(me) = me.filter(|_| pairs.flag("Ceilings.Peers")) else { return Ok(None) };
-    let members: Vec<MemberId> = (0..all.clamp(1.0, 65535.0) as u16).map(MemberId).collect();
+/// Starts the signals of an instance if its settings allow them and contain its own number.
+fn start_signals(pairs: &Pairs, now: f64, seed: u64) -> Result<Option<Signals>, String> {
+    let (own_number, initiators) = (pairs.optional::<u16>("Me")?, pairs.needed::<f64>("Balancers")?);
+    let Some(own_number) = own_number.filter(|_| pairs.flag("Ceilings.Peers")) else { return Ok(None) };
+    let members: Vec<MemberId> = (0..initiators.clamp(1.0, 65535.0) as u16).map(MemberId).collect();
     let incarnation = (now.max(0.0) * 100.0) as u32;
     let (sends_reports, lends, message_cost) = (true, true, pairs.number("Deductions.Peer")?);
     let config = SignalConfig {
-        own_id: MemberId(me),
+        own_id: MemberId(own_number),
         members,
         incarnation,
         seed,
@@ -229,21 +238,25 @@
     Ok(Some(Signals::start(now, config)))
 }
 
-struct Lines<R> {
+/// Reads lines and counts them.
+struct LineReader<R> {
     input: R,
+    /// The current line without its end.
     text: String,
+    /// The number of the current line, from 1.
     number: u64,
 }
 
-impl<R: BufRead> Lines<R> {
-    fn next(&mut self) -> Result<bool, String> {
+impl<R: BufRead> LineReader<R> {
+    /// Reads the next line; false at the end of the input.
+    fn read_next(&mut self) -> Result<bool, String> {
         self.text.clear();
         self.number += 1;
         match self.input.read_line(&mut self.text) {
             Ok(0) => Ok(false),
             Ok(_) => {
-                let kept = self.text.trim_end_matches(['\n', '\r']).len();
-                self.text.truncate(kept);
+                let length = self.text.trim_end_matches(['\n', '\r']).len();
+                self.text.truncate(length);
                 Ok(true)
             }
             Err(error) => Err(format!("line {}: {error}", self.number)),
@@ -251,26 +264,28 @@
     }
 }
 
+/// Runs the batches of `input` until it ends and writes the reply to each of them. An error names the line at which
+/// the input is malformed.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut lines = Lines { input, text: String::new(), number: 0 };
+    let mut lines = LineReader { input, text: String::new(), number: 0 };
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
     let mut reply = String::new();
-    while lines.next()? {
+    while lines.read_next()? {
         if lines.text.is_empty() {
             continue;
         }
-        let clock = Fields::split(&lines.text);
-        let here = |number: u64, what: String| format!("line {number}: {what}");
-        if clock.name != "CLOCK" {
-            return Err(here(lines.number, format!("{}: a batch starts with CLOCK", clock.name)));
+        let header = Fields::split(&lines.text);
+        let at_line = |number: u64, message: String| format!("line {number}: {message}");
+        if header.name != "CLOCK" {
+            return Err(at_line(lines.number, format!("{}: a batch starts with CLOCK", header.name)));
         }
-        let now = clock
-            .exactly(1)
-            .and_then(|()| clock.needed::<f64>(0, "clock"))
-            .map_err(|what| here(lines.number, what))?;
+        let now = header
+            .expect_count(1)
+            .and_then(|()| header.required::<f64>(0, "clock"))
+            .map_err(|message| at_line(lines.number, message))?;
         reply.clear();
-        if let Err((number, what)) = batch(&mut lines, &mut instances, now, &mut reply) {
-            return Err(here(number, what));
+        if let Err((number, message)) = run_batch(&mut lines, &mut instances, now, &mut reply) {
+            return Err(at_line(number, message));
         }
         reply.push_str("OK\n");
         output
@@ -281,13 +296,14 @@
     Ok(())
 }
 
-fn batch<R: BufRead>(
-    lines: &mut Lines<R>, instances: &mut BTreeMap<String, Instance>, now: f64, reply: &mut String,
+/// Runs the events of one batch and appends their replies. An error comes with the number of its line.
+fn run_batch<R: BufRead>(
+    lines: &mut LineReader<R>, instances: &mut BTreeMap<String, Instance>, now: f64, reply: &mut String,
 ) -> Result<(), (u64, String)> {
     let mut initiator: Option<String> = None;
-    let mut named = false;
+    let mut by_written = false;
     loop {
-        if !lines.next().map_err(|what| (lines.number, what))? {
+        if !lines.read_next().map_err(|message| (lines.number, message))? {
             return Err((lines.number, "input ends inside a batch".to_string()));
         }
         let number = lines.number;
@@ -296,9 +312,9 @@
         match fields.name {
             "EOF_BATCH" => return Ok(()),
             "SWITCH_TO" => {
-                fields.exactly(1).map_err(|what| (number, what))?;
-                initiator = Some(fields.needed(0, "Initiator").map_err(|what| (number, what))?);
-                named = false;
+                fields.expect_count(1).map_err(|message| (number, message))?;
+                initiator = Some(fields.required(0, "Initiator").map_err(|message| (number, message))?);
+                by_written = false;
             }
             _ => {
                 let Some(name) = &initiator else {
@@ -307,28 +323,33 @@
                 let mut entries = Vec::new();
                 if fields.name == "PEERS_KNOWN" {
                     let count = fields
-                        .exactly(3)
-                        .and_then(|()| fields.needed::<usize>(2, "Members"))
-                        .map_err(|what| (number, what))?;
+                        .expect_count(3)
+                        .and_then(|()| fields.required::<usize>(2, "Members"))
+                        .map_err(|message| (number, message))?;
                     for _ in 0..count {
-                        if !lines.next().map_err(|what| (lines.number, what))? {
+                        if !lines.read_next().map_err(|message| (lines.number, message))? {
                             return Err((lines.number, "input ends inside a list".to_string()));
                         }
-                        entries.push(entry(&lines.text).map_err(|what| (lines.number, what))?);
+                        entries.push(decode_entry(&lines.text).map_err(|message| (lines.number, message))?);
                     }
                 }
-                let mut out = Reply { text: reply, initiator: name, named: &mut named, seen: Vec::new() };
+                let mut outbox = Reply {
+                    text: reply,
+                    initiator: name,
+                    by_written: &mut by_written,
+                    latencies: Vec::new(),
+                };
                 match catch_unwind(AssertUnwindSafe(|| {
-                    event(&fields, entries, name, instances, now, &mut out)
+                    run_event(&fields, entries, name, instances, now, &mut outbox)
                 })) {
-                    Ok(done) => done.map_err(|what| (number, what))?,
+                    Ok(result) => result.map_err(|message| (number, message))?,
                     Err(panic) => {
                         let text = panic
                             .downcast_ref::<String>()
                             .map(String::as_str)
                             .or_else(|| panic.downcast_ref::<&str>().copied())
                             .unwrap_or("the core panicked");
-                        out.line(format_args!("FATAL {}", text.replace(['\n', '\r'], " ")));
+                        outbox.write_line(format_args!("FATAL {}", text.replace(['\n', '\r'], " ")));
                     }
                 }
             }
@@ -336,44 +357,46 @@
     }
 }
 
-fn entry(line: &str) -> Result<ListedNode, String> {
+/// Decodes a line of a node list.
+fn decode_entry(line: &str) -> Result<ListedNode, String> {
     let fields = Fields::split(line);
     if fields.name != "ENTRY" {
         return Err(format!("{}: an ENTRY was expected", fields.name));
     }
-    fields.exactly(7)?;
-    let condition = match fields.needed::<u8>(4, "Condition")? {
+    fields.expect_count(7)?;
+    let condition = match fields.required::<u8>(4, "Condition")? {
         2 => NodeCondition::Ready,
         0 => NodeCondition::Draining,
         1 => NodeCondition::Removed,
-        other => return Err(format!("ENTRY: field Condition: unknown value '{other}'")),
+        unknown => return Err(format!("ENTRY: field Condition: unknown value '{unknown}'")),
     };
     let block = BlockId(fields.value(3, "Block")?.unwrap_or(-1));
     Ok((fields.node(0)?, block, condition, fields.time(6, "StartTime")?, fields.time(5, "Scale")?))
 }
 
-fn event(
+/// Decodes one event and passes it to the instance `name`.
+fn run_event(
     fields: &Fields, entries: Vec<ListedNode>, name: &str, instances: &mut BTreeMap<String, Instance>,
-    now: f64, out: &mut Reply,
+    now: f64, outbox: &mut Reply,
 ) -> Result<(), String> {
     match fields.name {
         "START" => {
-            let seed = fields.needed(0, "Seed")?;
+            let seed = fields.required(0, "Seed")?;
             let decoded = Pairs::of_text(&fields.values[1..].join(" ")).and_then(|pairs| {
                 let (settings, names) = pairs::core(&pairs)?;
-                Ok((settings, names, signals(&pairs, now, seed)?))
+                Ok((settings, names, start_signals(&pairs, now, seed)?))
             });
             let (mut settings, names, signals) =
-                decoded.map_err(|what| format!("START: field Params: {what}"))?;
+                decoded.map_err(|message| format!("START: field Params: {message}"))?;
             settings.earlier_loans_hold = if signals.is_some() { lender_hold() } else { 0.0 };
-            let brain = Scheduler::start(now, seed, settings, out);
-            let mut instance = Instance { brain, names, signals };
-            instance.settle(now, out);
+            let scheduler = Scheduler::start(now, seed, settings, outbox);
+            let mut instance = Instance { scheduler, names, signals };
+            instance.run_signals(now, outbox);
             instances.insert(name.to_string(), instance);
             return Ok(());
         }
         "SHUTDOWN" => {
-            fields.exactly(0)?;
+            fields.expect_count(0)?;
             instances.remove(name);
             return Ok(());
         }
@@ -382,26 +405,26 @@
     let Some(instance) = instances.get_mut(name) else {
         return Err(format!("{}: {name} has not started", fields.name));
     };
-    let Instance { brain, names, signals } = instance;
-    let transaction = |at| fields.needed(at, "Req").map(TransactionId);
+    let Instance { scheduler, names, signals } = instance;
+    let transaction = |index| fields.required(index, "Req").map(TransactionId);
     match fields.name {
         "PEERS_KNOWN" => {
-            let scope = match fields.needed::<u8>(0, "Scope")? {
+            let kind = match fields.required::<u8>(0, "Scope")? {
                 0 => ListKind::Changes,
                 1 => ListKind::Complete,
                 2 => ListKind::Cached,
                 3 => ListKind::FetchFailed,
-                other => return Err(format!("PEERS_KNOWN: field Scope: unknown value '{other}'")),
+                unknown => return Err(format!("PEERS_KNOWN: field Scope: unknown value '{unknown}'")),
             };
-            brain.node_list_received(now, scope, &entries, out);
+            scheduler.node_list_received(now, kind, &entries, outbox);
         }
         "REQ" => {
-            fields.exactly(10)?;
+            fields.expect_count(10)?;
             let plan: Option<String> = fields.value(3, "PolicyNo")?;
             let plan = plan.and_then(|plan| names.plans.iter().position(|known| *known == plan)).map(PlanId);
-            let band: String = fields.needed(4, "Service")?;
+            let band: String = fields.required(4, "Service")?;
             let band = names.bands.iter().position(|known| *known == band);
-            brain.transaction_received(
+            scheduler.transaction_received(
                 now,
                 transaction(0)?,
                 fields.value(2, "Hosts")?.unwrap_or(1.0),
@@ -412,63 +435,63 @@
                 fields.value(7, "Weight")?.unwrap_or(1.0),
                 VolumeId(Arc::from(fields.text(8).unwrap_or(""))),
                 fields.value(9, "Placement")?.filter(|block| *block >= 0).map(BlockId),
-                out,
+                outbox,
             );
         }
         "ACK_FIRST" => {
-            fields.exactly(4)?;
-            // Nothing is decided on this or a probe yet: what is read is only checked.
+            fields.expect_count(4)?;
+            // The core does not use this event or PROBED yet; their fields are only checked.
             transaction(0)?;
-            fields.needed::<u32>(1, "Try")?;
+            fields.required::<u32>(1, "Try")?;
             fields.node(2)?;
         }
         "RETURNED" => {
-            fields.exactly(9)?;
-            brain.shot_completed(
+            fields.expect_count(9)?;
+            scheduler.shot_completed(
                 now,
                 transaction(0)?,
                 &fields.node(1)?,
-                fields.needed(2, "Try")?,
+                fields.required(2, "Try")?,
                 fields.value(3, "UsePct")?.unwrap_or(0.0),
                 fields.time(4, "DelaySeen")?,
                 fields.flag(5, "Last")?,
                 fields.outcome(6)?,
                 fields.value(7, "OthersGot")?.unwrap_or(0.0),
                 &fields.report(8)?,
-                out,
+                outbox,
             );
         }
         "LAPSED" => {
-            fields.exactly(1)?;
-            brain.client_cancelled(now, transaction(0)?, out);
+            fields.expect_count(1)?;
+            scheduler.client_cancelled(now, transaction(0)?, outbox);
         }
         "RING" => {
-            fields.exactly(1)?;
-            match fields.needed(0, "Tag")? {
-                SIGNALS => {}
-                tag => brain.timer_fired(now, tag, out),
+            fields.expect_count(1)?;
+            match fields.required(0, "Tag")? {
+                SIGNALS_TIMER_TAG => {}
+                tag => scheduler.timer_fired(now, tag, outbox),
             }
         }
         "PROBED" => {
-            fields.exactly(4)?;
+            fields.expect_count(4)?;
             fields.node(0)?;
             fields.outcome(1)?;
             fields.time(2, "DelaySeen")?;
             fields.report(3)?;
         }
         "PEER" => {
-            fields.exactly(2)?;
-            let author: u64 = fields.needed(0, "Author")?;
+            fields.expect_count(2)?;
+            let author: u64 = fields.required(0, "Author")?;
             let hex = fields.text(1).unwrap_or("");
-            let byte = |at| hex.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
+            let byte = |index| hex.get(index..index + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
             let bytes: Option<Vec<u8>> = (0..hex.len()).step_by(2).map(byte).collect();
             let bytes = bytes.ok_or_else(|| format!("PEER: field Payload: cannot read '{hex}'"))?;
             if let (Some(signals), Ok(author)) = (signals, u16::try_from(author)) {
-                signals.signal_received(now, MemberId(author), &bytes, &mut Books(brain, out));
+                signals.signal_received(now, MemberId(author), &bytes, &mut SignalContext(scheduler, outbox));
             }
         }
-        other => return Err(format!("{other}: unknown event")),
+        unknown => return Err(format!("{unknown}: unknown event")),
     }
-    instance.settle(now, out);
+    instance.run_signals(now, outbox);
     Ok(())
 }
