--- a/crates/initiator/src/core.rs
+++ b/crates/initiator/src/core.rs
@@ -219,7 +219,7 @@
 
 impl Core for Baseline {
     fn node_list_received(&mut self, _now: f64, kind: ListKind, entries: &[ListedNode], out: &mut Actions) {
-        if kind == ListKind::FetchFailed && self.must_subscribe {
+        if kind == ListKind::Failed && self.must_subscribe {
             out.set_timer(1.0, 0);
         }
         for (node, block, condition, ..) in entries {
--- a/crates/initiator/src/fleet.rs
+++ b/crates/initiator/src/fleet.rs
@@ -290,7 +290,7 @@
         for (duty, (block, node)) in &self.probe_targets {
             let Some((ago, by, good)) = self.core.last_result(now, *duty) else { continue };
             if self.last_good.insert(*duty, good).is_some_and(|before| before != good) {
-                info!(block = block.0, node = %node.0, good, by = by.0, ago, "the result of a probe has changed");
+                info!(block = block.0, node = %node.0, good, by = by.0, ago, "probe");
             }
         }
         if now - self.reported_at > REPORT_INTERVAL {
@@ -315,10 +315,10 @@
                     warn!("another process that started later has the member number of this one; this process stays out of the fleet from now on");
                 }
                 Action::StandingChanged(standing) => {
-                    info!(?standing, "the standing in the fleet has changed")
+                    info!(?standing, "fleet")
                 }
                 Action::MemberStatusChanged(member, status) => {
-                    info!(member = member.0, ?status, "the status of a fleet member has changed");
+                    info!(member = member.0, ?status, "fleet");
                     let instance = self.instance.upgrade();
                     let dead = matches!(status, Status::Dead | Status::Left);
                     instance
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -657,7 +657,7 @@
             entries = listed.len(),
             "received a node list from the register"
         );
-        self.core_events.push_back(CoreEvent::NodeList(ListKind::Complete, listed));
+        self.core_events.push_back(CoreEvent::NodeList(ListKind::Whole, listed));
     }
 
     /// The ready node of each block, according to the current node list.
@@ -674,7 +674,7 @@
     /// be pending.
     pub fn register_call_failed(&mut self) {
         if self.deployment.register.mode == Mode::Asked {
-            self.core_events.push_back(CoreEvent::NodeList(ListKind::FetchFailed, Vec::new()));
+            self.core_events.push_back(CoreEvent::NodeList(ListKind::Failed, Vec::new()));
         }
     }
 
@@ -696,7 +696,7 @@
                 _ => unavailable.push(node.clone()),
             }
         }
-        if matches!(kind, ListKind::Complete) {
+        if matches!(kind, ListKind::Whole) {
             let is_listed = |node: &NodeId| listed.iter().any(|(listed, ..)| listed == node);
             unavailable.extend(self.nodes.keys().filter(|node| !is_listed(node)).cloned());
         }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -720,11 +720,7 @@
         }
         self.list_received |= listing.snapshot;
         self.list_index = listing.index;
-        self.apply_list(
-            listing,
-            if listing.snapshot { ListKind::Complete } else { ListKind::Changes },
-            older,
-        );
+        self.apply_list(listing, if listing.snapshot { ListKind::Whole } else { ListKind::Changes }, older);
         true
     }
 
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -388,9 +388,9 @@
         "PEERS_KNOWN" => {
             let scope = match fields.needed::<u8>(0, "Scope")? {
                 0 => ListKind::Changes,
-                1 => ListKind::Complete,
+                1 => ListKind::Whole,
                 2 => ListKind::Cached,
-                3 => ListKind::FetchFailed,
+                3 => ListKind::Failed,
                 other => return Err(format!("PEERS_KNOWN: field Scope: unknown value '{other}'")),
             };
             brain.node_list_received(now, scope, &entries, out);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -150,7 +150,7 @@
     pub fn node_list_received(
         &mut self, now: f64, kind: ListKind, entries: &[ListedNode], outbox: &mut impl Outbox,
     ) {
-        if kind == ListKind::FetchFailed {
+        if kind == ListKind::Failed {
             // The subscription may be lost. Subscribes again after a growing, jittered delay, so that many
             // initiators at once do not overload the register.
             self.failed_fetches += 1;
--- a/src/types.rs
+++ b/src/types.rs
@@ -108,11 +108,11 @@
     /// Only the entries that changed.
     Changes,
     /// All nodes: a node that is not listed is gone.
-    Complete,
+    Whole,
     /// All nodes, as stored by an earlier process.
     Cached,
     /// Nothing: the register could not be read.
-    FetchFailed,
+    Failed,
 }
 
 /// A node as the register lists it: its address, block and state, the clock time at which it started (0: long ago)
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,7 +4,7 @@
 
 use helper::{settings, Rig};
 use quaypath::types::{
-    ListKind::{Changes, Complete},
+    ListKind::{Changes, Whole},
     NodeCondition::*,
     Outcome::*,
     *,
@@ -84,7 +84,7 @@
 // Found on sockets: a block whose node drains has none for seconds, and the node still serves.
 #[test_case(Changes, Draining, 1.1, 1 ; "news of now: sent to in a part of the grace")]
 #[test_case(Changes, Draining, 1.3, 0 ; "not near its end, so that no shot leaves past it")]
-#[test_case(Complete, Draining, 0.1, 0 ; "a whole list does not tell since when")]
+#[test_case(Whole, Draining, 0.1, 0 ; "a whole list does not tell since when")]
 #[test_case(Changes, Removed, 0.1, 0 ; "gone")]
 fn what_leaves_for_a_node_that_drains(scope: ListKind, condition: NodeCondition, after: f64, sent: usize) {
     let mut rig = one_node(Settings { drain_grace: 2.0, ..settings() });
@@ -97,9 +97,9 @@
 
 #[test_case(Changes, &[("a", 1, Draining, 0.0)], 0 ; "draining")]
 #[test_case(Changes, &[("a", 1, Removed, 0.0)], 0 ; "gone")]
-#[test_case(Complete, &[("b", 2, Ready, 0.0)], 0 ; "absent from a whole list")]
+#[test_case(Whole, &[("b", 2, Ready, 0.0)], 0 ; "absent from a whole list")]
 #[test_case(Changes, &[("b", 2, Ready, 0.0)], 1 ; "absent from the changes only")]
-#[test_case(ListKind::FetchFailed, &[], 1 ; "a failed call changes nothing")]
+#[test_case(ListKind::Failed, &[], 1 ; "a failed call changes nothing")]
 #[test_case(Changes, &[("c", 1, Ready, 0.0), ("a", 1, Removed, 0.0)], 1 ; "replaced, the old one gone after")]
 fn after_this_list(scope: ListKind, entries: &[(&str, i64, NodeCondition, f64)], sends: usize) {
     let mut rig = one_node(settings());
@@ -112,7 +112,7 @@
 fn a_failed_call_to_the_register_is_repeated_after_a_wait() {
     let mut rig = Rig::new(100.0, Settings { must_subscribe: true, ..settings() });
     assert_eq!(rig.seen(), ["subscribe true"]);
-    rig.list(ListKind::FetchFailed, &[]);
+    rig.list(ListKind::Failed, &[]);
     assert!(rig.seen().is_empty());
     rig.run(102.0);
     assert_eq!(rig.seen(), ["subscribe true"]);
@@ -233,7 +233,7 @@
         starts.iter().enumerate().map(|(at, start)| (format!("n{at}"), at as i64, *start)).collect();
     let entries: Vec<_> =
         nodes.iter().map(|(name, block, start)| (name.as_str(), *block, Ready, *start)).collect();
-    rig.at(100.1).list(Complete, &entries).seen();
+    rig.at(100.1).list(Whole, &entries).seen();
     rig.take(1, 3, 2, 2.0, None);
     assert_eq!(rig.seen().join(" "), first);
 }
@@ -316,7 +316,7 @@
 fn a_backlog_after_a_stall_is_answered_once_each() {
     let mut rig = Rig::new(100.0, settings());
     let names: Vec<_> = (0..300).map(|at| (format!("n{at}"), at)).collect();
-    rig.list(Complete, &names.iter().map(|(name, at)| (name.as_str(), *at, Ready, 0.0)).collect::<Vec<_>>());
+    rig.list(Whole, &names.iter().map(|(name, at)| (name.as_str(), *at, Ready, 0.0)).collect::<Vec<_>>());
     for id in 0..4000 {
         rig.take(id, id as usize % 4, id as usize % 3, 2.0, Some(id as i64 % 310));
     }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -272,7 +272,7 @@
         let mut out = Sends::default();
         let mut brain = Scheduler::start(now, self.chance.generate(), self.settings(), &mut out);
         let entries: Vec<ListedNode> = (0..self.case.nodes).map(|block| self.entry(block)).collect();
-        brain.node_list_received(now, ListKind::Complete, &entries, &mut out);
+        brain.node_list_received(now, ListKind::Whole, &entries, &mut out);
         brain
     }
 
