--- a/crates/programs/tests/crossings.rs
+++ b/crates/programs/tests/crossings.rs
@@ -10,8 +10,9 @@
 use std::time::{Duration, Instant};
 
 use rig::{
-    answer, closed, exchange, id_of, listing, message, put, resets, settles, silent, slow, until, Calls,
-    Discovery, Gateway, Hand, Node,
+    answer_ok, answer_slowly, closed_by_peer, exchange, never_answer, node_list, put_request, read_message,
+    request_id, reset_on_close, wait_until, write_response, Discovery, Gateway, ManualDiscovery, ManualNode,
+    Node,
 };
 use rustix::process::{prlimit, Pid, Resource, Rlimit, Signal};
 use serde_json::json;
@@ -29,22 +30,22 @@
 
 /// A request of a client that is served goes through all that came before it: what did not come by then never will.
 fn barrier(gateway: &Gateway, id: &str) {
-    assert_eq!(gateway.ask("lookup", id).0, 200, "the usual clients are served");
+    assert_eq!(gateway.send_request("lookup", id).0, 200, "the usual clients are served");
 }
 
 /// Asks until a request has gone to the node that a change put into service.
 fn obeyed(gateway: &Gateway, other: &Node) {
     let mut number = 0;
-    until("the change is obeyed", || {
+    wait_until("the change is obeyed", || {
         number += 1;
-        gateway.ask("lookup", &format!("id{number}")).0 == 200 && other.requests() > 0
+        gateway.send_request("lookup", &format!("id{number}")).0 == 200 && other.request_count() > 0
     });
 }
 
 /// The first request that comes on a new connection; some may come up and be called off before their first byte.
-fn first_request(node: &Hand) -> String {
+fn first_request(node: &ManualNode) -> String {
     loop {
-        if let Some((head, _)) = message(&mut node.accept()) {
+        if let Some((head, _)) = read_message(&mut node.accept()) {
             return head;
         }
     }
@@ -56,26 +57,26 @@
 #[test_case(true; "where the settings allow cancelling")]
 #[test_case(false; "where they do not")]
 fn nothing_is_sent_for_a_client_that_left_while_its_connection_came_up(may_cancel: bool) {
-    let node = Hand::start();
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = ManualNode::start();
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway = Gateway::start(&list, discovery.address, |config| {
         config["settings"]["Ceilings"]["MayCancel"] = json!(may_cancel);
         config["settings"]["Ceilings"]["ConnectTimeout"] = json!(4.0);
     });
-    let held = node.full();
+    let held = node.fill_backlog();
     let mut client = gateway.connect();
-    client.write_all(put("buy", "gone", "2500m").as_bytes()).expect("sent");
-    until("its connection is coming up", || gateway.opening() == 1);
+    client.write_all(put_request("buy", "gone", "2500m").as_bytes()).expect("sent");
+    wait_until("its connection is coming up", || gateway.connecting_sockets() == 1);
     drop(client);
     let left = Instant::now();
-    until("it is called off", || gateway.opening() == 0);
+    wait_until("it is called off", || gateway.connecting_sockets() == 0);
     assert!(left.elapsed() < Duration::from_secs(1), "with its client, not by its time-out");
     // Room again: whatever still wants a connection gets one, and the next request is the first that comes.
     held.iter().for_each(|_| drop(node.accept()));
     let mut next = gateway.connect();
-    next.write_all(put("lookup", "next", "1200m").as_bytes()).expect("sent");
-    assert_eq!(id_of(&first_request(&node)), "next");
+    next.write_all(put_request("lookup", "next", "1200m").as_bytes()).expect("sent");
+    assert_eq!(request_id(&first_request(&node)), "next");
 }
 
 /// Guards against a further attempt for nobody: the failed answer and the client's end lie in the kernel together, in
@@ -84,73 +85,75 @@
 #[test_case(true, false; "the answer first")]
 #[test_case(false, true; "its reset first")]
 fn no_further_attempt_for_a_client_that_has_left(answer_first: bool, by_reset: bool) {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put("lookup", "gone", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request("lookup", "gone", "1200m").as_bytes()).expect("sent");
     let mut back = node.accept();
-    assert_eq!(id_of(&message(&mut back).expect("a request").0), "gone");
+    assert_eq!(request_id(&read_message(&mut back).expect("a request").0), "gone");
     gateway.while_stopped(|| {
         if answer_first {
-            assert!(answer(&mut back, "500 Error", ""));
+            assert!(write_response(&mut back, "500 Error", ""));
         }
         if by_reset {
-            resets(&client);
+            reset_on_close(&client);
         }
         drop(client);
         if !answer_first {
-            assert!(answer(&mut back, "500 Error", ""));
+            assert!(write_response(&mut back, "500 Error", ""));
         }
     });
     // The next client's request is the next that comes, on whatever connection.
     let mut next = gateway.connect();
-    next.write_all(put("lookup", "next", "1200m").as_bytes()).expect("sent");
+    next.write_all(put_request("lookup", "next", "1200m").as_bytes()).expect("sent");
     back.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-    let head = message(&mut back).map_or_else(|| first_request(&node), |(head, _)| head);
-    assert_eq!(id_of(&head), "next");
+    let head = read_message(&mut back).map_or_else(|| first_request(&node), |(head, _)| head);
+    assert_eq!(request_id(&head), "next");
 }
 
 /// Guards against a client that sends much at once and goes, whose end is not seen behind all that.
 #[test]
 fn one_that_sends_much_at_once_and_goes_is_seen_to_leave() {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put("buy", "gone", "2500m").as_bytes()).expect("sent");
+    client.write_all(put_request("buy", "gone", "2500m").as_bytes()).expect("sent");
     let mut back = node.accept();
-    assert_eq!(id_of(&message(&mut back).expect("a request").0), "gone");
-    let much: String = (0..300).map(|number| put("lookup", &format!("much{number}"), "1200m")).collect();
+    assert_eq!(request_id(&read_message(&mut back).expect("a request").0), "gone");
+    let much: String =
+        (0..300).map(|number| put_request("lookup", &format!("much{number}"), "1200m")).collect();
     assert!(much.len() > 50_000);
     client.write_all(much.as_bytes()).expect("sent");
     drop(client);
     // Its end ends the attempt, long before its time: nobody waits for the answer.
     let left = Instant::now();
-    assert!(closed(&mut back), "closed");
+    assert!(closed_by_peer(&mut back), "closed");
     assert!(left.elapsed() < Duration::from_secs(1), "{:?}", left.elapsed());
     let mut next = gateway.connect();
-    next.write_all(put("lookup", "next", "1200m").as_bytes()).expect("sent");
-    assert_eq!(id_of(&first_request(&node)), "next");
+    next.write_all(put_request("lookup", "next", "1200m").as_bytes()).expect("sent");
+    assert_eq!(request_id(&first_request(&node)), "next");
 }
 
 /// Guards against requests sent ahead that are left without a word past what is held of them.
 #[test]
 fn one_that_sends_too_much_ahead_gets_an_answer_that_ends_the_connection() {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put("lookup", "first", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request("lookup", "first", "1200m").as_bytes()).expect("sent");
     let mut back = node.accept();
-    message(&mut back).expect("a request");
-    let much: String = (0..300).map(|number| put("lookup", &format!("much{number}"), "1200m")).collect();
+    read_message(&mut back).expect("a request");
+    let much: String =
+        (0..300).map(|number| put_request("lookup", &format!("much{number}"), "1200m")).collect();
     client.write_all(much.as_bytes()).expect("sent");
     // A second client's request behind all that is served, so what came has been read.
     let mut other = gateway.connect();
-    other.write_all(put("lookup", "other", "1200m").as_bytes()).expect("sent");
+    other.write_all(put_request("lookup", "other", "1200m").as_bytes()).expect("sent");
     let mut second = node.accept();
-    let (head, _) = message(&mut second).expect("a request");
-    assert!(settles(0, &mut second, &head));
+    let (head, _) = read_message(&mut second).expect("a request");
+    assert!(answer_ok(0, &mut second, &head));
     assert_eq!(exchange(&mut other, "").2, "other");
-    assert!(settles(0, &mut back, "X-Request-ID: first"));
+    assert!(answer_ok(0, &mut back, "X-Request-ID: first"));
     let (bytes, error) = rest(&mut client);
     let text = String::from_utf8_lossy(&bytes);
     assert!(
@@ -166,35 +169,40 @@
 /// and its client is told so by an orderly end.
 #[test]
 fn a_request_just_behind_a_close_meets_an_orderly_end() {
-    let node = Node::start(settles);
-    let (gateway, _discovery) = Gateway::with(&node);
+    let node = Node::start(answer_ok);
+    let (gateway, _discovery) = Gateway::start_with_node(&node);
     let mut resting = gateway.connect();
-    assert_eq!(exchange(&mut resting, &put("lookup", "one", "1000m")).0, 200);
-    gateway.signal(Signal::TERM);
+    assert_eq!(exchange(&mut resting, &put_request("lookup", "one", "1000m")).0, 200);
+    gateway.send_signal(Signal::TERM);
     // Rests until the process ends the connection.
     assert_eq!(resting.read(&mut [0]).expect("closed in order"), 0);
-    resting.write_all(put("lookup", "late", "1000m").as_bytes()).expect("still taken");
+    resting.write_all(put_request("lookup", "late", "1000m").as_bytes()).expect("still taken");
     resting.shutdown(Shutdown::Write).expect("open");
     assert_eq!(rest(&mut resting), (Vec::new(), None));
-    assert!(node.seen.lock().expect("no panic").iter().all(|head| id_of(head) != "late"), "never sent on");
+    assert!(
+        node.request_heads.lock().expect("no panic").iter().all(|head| request_id(head) != "late"),
+        "never sent on"
+    );
 }
 
 /// Guards against a request lost to a close to make room: a crowd that wants it and requests on resting connections lie in
 /// the kernel together.
 #[test]
 fn a_request_together_with_an_eviction_is_answered_whole_or_never_sent_on() {
-    let node = Node::start(settles);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(answer_ok);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway = Gateway::start(&list, discovery.address, |config| config["limits"]["sockets"] = json!(64));
     let mut resting: Vec<TcpStream> = (0..15).map(|_| gateway.connect()).collect();
     for (number, client) in resting.iter_mut().enumerate() {
-        assert_eq!(exchange(client, &put("lookup", &format!("one{number}"), "1000m")).0, 200);
+        assert_eq!(exchange(client, &put_request("lookup", &format!("one{number}"), "1000m")).0, 200);
     }
     let crowd: Vec<TcpStream> = gateway.while_stopped(|| {
         let crowd = (0..60).map(|_| gateway.connect()).collect();
         for (number, client) in resting.iter_mut().enumerate() {
-            client.write_all(put("lookup", &format!("two{number}"), "1000m").as_bytes()).expect("sent");
+            client
+                .write_all(put_request("lookup", &format!("two{number}"), "1000m").as_bytes())
+                .expect("sent");
         }
         crowd
     });
@@ -202,9 +210,9 @@
     for (number, client) in resting.iter_mut().enumerate() {
         for name in ["two", "three"] {
             let id = format!("{name}{number}");
-            let text = if name == "two" { String::new() } else { put("lookup", &id, "1000m") };
+            let text = if name == "two" { String::new() } else { put_request("lookup", &id, "1000m") };
             let (status, _, body) = exchange(client, &text);
-            let sent = node.seen.lock().expect("no panic").iter().any(|head| id_of(head) == id);
+            let sent = node.request_heads.lock().expect("no panic").iter().any(|head| request_id(head) == id);
             // Either answered whole, or never sent on and ended.
             assert!(status == 200 && body == id || status == 0 && !sent, "{id}: {status} {sent}");
             served += usize::from(status == 200);
@@ -220,8 +228,8 @@
 /// Guards against a client that finds no room and is shut out without a word.
 #[test]
 fn where_all_are_busy_one_more_is_told_so() {
-    let node = Node::start(silent);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(never_answer);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway = Gateway::start(&list, discovery.address, |config| config["limits"]["sockets"] = json!(64));
     // All requests lie in the kernel before the first connection is let in: one that is silent then may be closed for the
@@ -229,7 +237,7 @@
     let mut busy: Vec<TcpStream> = gateway.while_stopped(|| {
         let busy = (0..40).map(|number| {
             let mut client = gateway.connect();
-            let _ = client.write_all(put("lookup", &format!("id{number}"), "1000m").as_bytes());
+            let _ = client.write_all(put_request("lookup", &format!("id{number}"), "1000m").as_bytes());
             client
         });
         busy.collect()
@@ -246,25 +254,25 @@
 /// its return are kept.
 #[test]
 fn a_crowd_leaves_discovery_its_descriptors() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |config| config["limits"]["sockets"] = json!(64));
     let most = Rlimit { current: Some(64), maximum: Some(64) };
     prlimit(Some(Pid::from_child(&gateway.child)), Resource::Nofile, most).expect("its own child");
-    calls.begin(&list).reset();
+    calls.open_first_watch(&list).reset();
     barrier(&gateway, "before");
     // Discovery hangs while the crowd comes, all at once.
-    let mut hanging = vec![calls.next()];
+    let mut hanging = vec![calls.next_call()];
     let crowd: Vec<TcpStream> = gateway.while_stopped(|| (0..400).map(|_| gateway.connect()).collect());
-    hanging.extend((0..5).map(|_| calls.next()));
+    hanging.extend((0..5).map(|_| calls.next_call()));
     let back = Instant::now();
-    let changed = listing(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
-    let watch = calls.tells(&changed);
+    let changed = node_list(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
+    let watch = calls.send_list_on_watch(&changed);
     obeyed(&gateway, &other);
     assert!(back.elapsed() < TOLD, "{:?}", back.elapsed());
     drop((watch, hanging));
-    assert!(!gateway.logged("cannot accept"), "out of descriptors");
+    assert!(!gateway.has_logged("cannot accept"), "out of descriptors");
     let descriptors = format!("/proc/{}/fd", gateway.child.id());
     assert!(std::fs::read_dir(descriptors).expect("its descriptors").count() <= 64);
     drop(crowd);
@@ -275,29 +283,29 @@
 /// Guards against half a request that the end of the process cuts off without a word.
 #[test]
 fn half_a_request_at_the_end_is_refused_whole() {
-    let node = Node::start(settles);
-    let (mut gateway, _discovery) = Gateway::with(&node);
+    let node = Node::start(answer_ok);
+    let (mut gateway, _discovery) = Gateway::start_with_node(&node);
     let mut resting = gateway.connect();
-    assert_eq!(exchange(&mut resting, &put("lookup", "one", "1000m")).0, 200);
+    assert_eq!(exchange(&mut resting, &put_request("lookup", "one", "1000m")).0, 200);
     let mut half = gateway.connect();
-    assert_eq!(exchange(&mut half, &put("lookup", "two", "1000m")).0, 200);
-    gateway.signal(Signal::TERM);
+    assert_eq!(exchange(&mut half, &put_request("lookup", "two", "1000m")).0, 200);
+    gateway.send_signal(Signal::TERM);
     // Half of it comes late, so that patience with it lasts past the end.
     thread::sleep(Duration::from_millis(1500));
-    half.write_all(&put("lookup", "half", "1000m").as_bytes()[..100]).expect("sent");
+    half.write_all(&put_request("lookup", "half", "1000m").as_bytes()[..100]).expect("sent");
     let (bytes, error) = rest(&mut half);
     assert!(String::from_utf8_lossy(&bytes).starts_with("HTTP/1.1 503"), "{bytes:?} {error:?}");
     assert_eq!(error, None, "ended in order");
     assert_eq!(gateway.child.wait().expect("ended").code(), Some(0));
-    assert!(node.seen.lock().expect("no panic").iter().all(|head| id_of(head) != "half"));
+    assert!(node.request_heads.lock().expect("no panic").iter().all(|head| request_id(head) != "half"));
 }
 
 /// Guards against requests taken in the last moment and cut off by the end: they come one behind the other while the last
 /// answers are written, and the node is too slow for any of them.
 #[test]
 fn what_comes_in_the_last_moment_is_refused_and_never_sent_on() {
-    let node = Node::start(slow);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(answer_slowly);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let mut gateway = Gateway::start(&list, discovery.address, |config| {
         for at in 0..2 {
@@ -307,7 +315,7 @@
     // Keeps it open to the end.
     let mut half = gateway.connect();
     let began = Instant::now();
-    gateway.signal(Signal::TERM);
+    gateway.send_signal(Signal::TERM);
     // The kill comes 1.2 s after the signal, and the last step 0.12 s before that.
     thread::sleep(Duration::from_millis(1000));
     half.write_all(b"PUT ").expect("sent");
@@ -316,7 +324,7 @@
         assert!(began.elapsed() < Duration::from_secs(3), "it ends");
         if let Ok(mut client) = TcpStream::connect(gateway.address) {
             let id = format!("last{}", asked.len());
-            if client.write_all(put("buy", &id, "500m").as_bytes()).is_ok() {
+            if client.write_all(put_request("buy", &id, "500m").as_bytes()).is_ok() {
                 asked.push((id, client));
             }
         }
@@ -326,7 +334,7 @@
     for (id, mut client) in asked {
         let _ = client.set_read_timeout(Some(Duration::from_secs(1)));
         let status = exchange(&mut client, "").0;
-        let sent = node.seen.lock().expect("no panic").iter().any(|head| id_of(head) == id);
+        let sent = node.request_heads.lock().expect("no panic").iter().any(|head| request_id(head) == id);
         refused += usize::from(status == 503);
         unanswered += usize::from(status == 0);
         if status == 0 && sent {
@@ -343,8 +351,8 @@
 /// Guards against an end while new connections still come: with deadlines shorter than the steps of the stop.
 #[test]
 fn new_connections_are_served_for_their_time_after_sigterm() {
-    let node = Node::start(settles);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(answer_ok);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let mut gateway = Gateway::start(&list, discovery.address, |config| {
         for at in 0..2 {
@@ -353,14 +361,14 @@
         }
     });
     let mut idle = gateway.connect();
-    assert_eq!(exchange(&mut idle, &put("lookup", "one", "150m")).0, 200);
+    assert_eq!(exchange(&mut idle, &put_request("lookup", "one", "150m")).0, 200);
     let began = Instant::now();
-    gateway.signal(Signal::TERM);
+    gateway.send_signal(Signal::TERM);
     let mut number = 0;
     while began.elapsed() < Duration::from_millis(400) {
         number += 1;
         let (status, head, _) =
-            exchange(&mut gateway.connect(), &put("lookup", &format!("id{number}"), "150m"));
+            exchange(&mut gateway.connect(), &put_request("lookup", &format!("id{number}"), "150m"));
         assert_eq!(status, 200, "{head} after {:?}", began.elapsed());
     }
     // Nothing that the kernel had taken for it is cut off by its end.
@@ -375,17 +383,17 @@
 #[test_case("buy", true, 500, 1; "ended by a reset, once only: failed")]
 #[test_case("lookup", true, 200, 2; "ended by a reset, repeatable: tried again")]
 fn an_answer_without_a_length(class: &str, by_reset: bool, status: u16, attempts: usize) {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put(class, "one", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request(class, "one", "1200m").as_bytes()).expect("sent");
     for attempt in 0..attempts {
         let mut back = node.accept();
-        message(&mut back).expect("a request");
+        read_message(&mut back).expect("a request");
         back.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nno le").expect("sent");
         back.write_all(b"ngth").expect("sent");
         if by_reset && attempt == 0 {
-            resets(&back);
+            reset_on_close(&back);
         }
     }
     let (found, head, body) = exchange(&mut client, "");
@@ -398,31 +406,31 @@
 /// Guards against a stale connection: one that was out while its node moved leads to what was there before.
 #[test]
 fn a_connection_that_was_out_while_its_node_moved_is_not_kept() {
-    let (before, after) = (Hand::start(), Node::start(settles));
-    let list = listing(41, &[("s-1", before.address, "in_service")]);
-    let calls = Calls::start();
+    let (before, after) = (ManualNode::start(), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", before.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.begin(&list);
+    let mut watch = calls.open_first_watch(&list);
     let mut client = gateway.connect();
-    client.write_all(put("lookup", "out", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request("lookup", "out", "1200m").as_bytes()).expect("sent");
     let mut back = before.accept();
-    message(&mut back).expect("a request");
+    read_message(&mut back).expect("a request");
     let mut changed =
-        listing(42, &[("s-1", after.address, "in_service"), ("s-2", after.address, "in_service")]);
+        node_list(42, &[("s-1", after.address, "in_service"), ("s-2", after.address, "in_service")]);
     changed["endpoints"][1]["group"] = json!(2);
-    watch.piece(&format!("{changed}\n"));
+    watch.send_chunk(&format!("{changed}\n"));
     let mut number = 0;
-    until("the change is read", || {
+    wait_until("the change is read", || {
         number += 1;
-        let text = put("lookup", &format!("id{number}"), "1000m").replace("shard=3", "shard=2");
+        let text = put_request("lookup", &format!("id{number}"), "1000m").replace("shard=3", "shard=2");
         exchange(&mut gateway.connect(), &text).0 == 200
     });
-    let known = after.requests();
-    assert!(settles(0, &mut back, "X-Request-ID: out"));
+    let known = after.request_count();
+    assert!(answer_ok(0, &mut back, "X-Request-ID: out"));
     assert_eq!(exchange(&mut client, "").2, "out");
-    assert!(closed(&mut back), "closed");
-    assert_eq!(exchange(&mut client, &put("lookup", "again", "1200m")).2, "again");
-    assert_eq!(after.requests(), known + 1);
+    assert!(closed_by_peer(&mut back), "closed");
+    assert_eq!(exchange(&mut client, &put_request("lookup", "again", "1200m")).2, "again");
+    assert_eq!(after.request_count(), known + 1);
 }
 
 /// Guards against an answer that goes to the next client: a whole one and its client's end lie in the kernel together, in
@@ -430,34 +438,34 @@
 #[test_case(true; "the answer first")]
 #[test_case(false; "its client's end first")]
 fn an_answer_together_with_its_clients_end_is_nobody_elses(answer_first: bool) {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put("buy", "gone", "2500m").as_bytes()).expect("sent");
+    client.write_all(put_request("buy", "gone", "2500m").as_bytes()).expect("sent");
     let mut back = node.accept();
-    let (head, _) = message(&mut back).expect("a request");
+    let (head, _) = read_message(&mut back).expect("a request");
     let mut left = Some(client);
     gateway.while_stopped(|| {
         if !answer_first {
             drop(left.take());
         }
-        assert!(settles(0, &mut back, &head));
+        assert!(answer_ok(0, &mut back, &head));
         drop(left.take());
     });
     let mut next = gateway.connect();
-    next.write_all(put("buy", "next", "2500m").as_bytes()).expect("sent");
+    next.write_all(put_request("buy", "next", "2500m").as_bytes()).expect("sent");
     // On the same connection, or on another.
     back.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-    let (mut stream, head) = match message(&mut back) {
+    let (mut stream, head) = match read_message(&mut back) {
         Some((head, _)) => (back, head),
         None => {
             let mut stream = node.accept();
-            let (head, _) = message(&mut stream).expect("a request");
+            let (head, _) = read_message(&mut stream).expect("a request");
             (stream, head)
         }
     };
-    assert_eq!(id_of(&head), "next");
-    assert!(settles(0, &mut stream, &head));
+    assert_eq!(request_id(&head), "next");
+    assert!(answer_ok(0, &mut stream, &head));
     assert_eq!(exchange(&mut next, "").2, "next");
 }
 
@@ -467,16 +475,16 @@
 
 /// Answers, and once more so many milliseconds later as the request's id says behind "late".
 fn settles_twice(_: usize, stream: &mut TcpStream, head: &str) -> bool {
-    let id = id_of(head).to_string();
+    let id = request_id(head).to_string();
     let late = id.strip_prefix("late").and_then(|rest| rest.split('-').next()?.parse().ok()).unwrap_or(0);
     let mut second = stream.try_clone().expect("a socket");
     let began = Instant::now();
-    if !answer(stream, "200 OK", &id) {
+    if !write_response(stream, "200 OK", &id) {
         return false;
     }
     thread::spawn(move || {
         thread::sleep(Duration::from_millis(late));
-        if answer(&mut second, "200 OK", &id) && began.elapsed() < SECOND_ANSWER {
+        if write_response(&mut second, "200 OK", &id) && began.elapsed() < SECOND_ANSWER {
             IN_TIME.lock().expect("no panic").push(id);
         }
     });
@@ -497,12 +505,12 @@
 #[test_case(30)]
 fn a_second_answer_some_milliseconds_late_is_nobodys(late: u64) {
     let node = Node::start(settles_twice);
-    let (gateway, _discovery) = Gateway::with(&node);
+    let (gateway, _discovery) = Gateway::start_with_node(&node);
     let mut client = gateway.connect();
     let mut wrong = Vec::new();
     for number in 0..100 {
         let id = format!("late{late}-{number}");
-        let (status, _, body) = exchange(&mut client, &put("lookup", &id, "1000m"));
+        let (status, _, body) = exchange(&mut client, &put_request("lookup", &id, "1000m"));
         if (status, body.as_str()) != (200, id.as_str()) {
             wrong.push((id, status, body));
         }
@@ -530,72 +538,72 @@
 #[test_case(true; "the half line first")]
 #[test_case(false; "the request first")]
 fn half_a_line_on_a_resting_connection_is_nobodys(line_first: bool) {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     let mut client = gateway.connect();
-    client.write_all(put("lookup", "one", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request("lookup", "one", "1200m").as_bytes()).expect("sent");
     let mut back = node.accept();
-    let (head, _) = message(&mut back).expect("a request");
-    assert!(settles(0, &mut back, &head));
+    let (head, _) = read_message(&mut back).expect("a request");
+    assert!(answer_ok(0, &mut back, &head));
     assert_eq!(exchange(&mut client, "").2, "one");
     gateway.while_stopped(|| {
         // It has rested for longer than any second answer is waited for, so nothing but a look at it keeps it from use.
         thread::sleep(4 * SECOND_ANSWER);
         // Both lie there before it goes on, whichever came first.
         if !line_first {
-            client.write_all(put("lookup", "two", "1200m").as_bytes()).expect("sent");
+            client.write_all(put_request("lookup", "two", "1200m").as_bytes()).expect("sent");
         }
         back.write_all(b"HTTP/1.1 20").expect("sent");
         if line_first {
-            client.write_all(put("lookup", "two", "1200m").as_bytes()).expect("sent");
+            client.write_all(put_request("lookup", "two", "1200m").as_bytes()).expect("sent");
         }
     });
     let mut fresh = node.accept();
-    let (head, _) = message(&mut fresh).expect("a request on a connection of its own");
-    assert!(settles(0, &mut fresh, &head));
+    let (head, _) = read_message(&mut fresh).expect("a request on a connection of its own");
+    assert!(answer_ok(0, &mut fresh, &head));
     assert_eq!(exchange(&mut client, "").2, "two");
     // The bytes that nobody read may make a reset of its close.
-    assert!(closed(&mut back), "closed unused");
+    assert!(closed_by_peer(&mut back), "closed unused");
 }
 
 /// Guards against connections to a node that was there before: another takes its place under the same address.
 #[test]
 fn a_node_replaced_under_its_old_address_gets_connections_of_its_own() {
-    let node = Hand::start();
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
-    let calls = Calls::start();
+    let node = ManualNode::start();
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.begin(&list);
+    let mut watch = calls.open_first_watch(&list);
     let mut client = gateway.connect();
-    client.write_all(put("lookup", "one", "1200m").as_bytes()).expect("sent");
+    client.write_all(put_request("lookup", "one", "1200m").as_bytes()).expect("sent");
     let mut before = node.accept();
-    let (head, _) = message(&mut before).expect("a request");
-    assert!(settles(0, &mut before, &head));
+    let (head, _) = read_message(&mut before).expect("a request");
+    assert!(answer_ok(0, &mut before, &head));
     assert_eq!(exchange(&mut client, "").2, "one");
-    let changed = listing(42, &[("s-1", node.address, "terminated"), ("s-2", node.address, "in_service")]);
-    watch.piece(&format!("{changed}\n"));
+    let changed = node_list(42, &[("s-1", node.address, "terminated"), ("s-2", node.address, "in_service")]);
+    watch.send_chunk(&format!("{changed}\n"));
     // What rested leads to the one before.
-    assert!(closed(&mut before), "closed with its node");
-    client.write_all(put("lookup", "two", "1200m").as_bytes()).expect("sent");
+    assert!(closed_by_peer(&mut before), "closed with its node");
+    client.write_all(put_request("lookup", "two", "1200m").as_bytes()).expect("sent");
     let mut after = node.accept();
-    let (head, _) = message(&mut after).expect("a request");
-    assert!(settles(0, &mut after, &head));
+    let (head, _) = read_message(&mut after).expect("a request");
+    assert!(answer_ok(0, &mut after, &head));
     assert_eq!(exchange(&mut client, "").2, "two");
 }
 
 /// Guards against a request that is sent on behind one that said it was the last: its answer could not be told.
 #[test]
 fn nothing_is_sent_on_behind_a_request_that_closes() {
-    let node = Node::start(settles);
-    let (gateway, _discovery) = Gateway::with(&node);
+    let node = Node::start(answer_ok);
+    let (gateway, _discovery) = Gateway::start_with_node(&node);
     let mut client = gateway.connect();
-    let last = put("lookup", "last", "1200m").replace("Host: ", "Connection: close\r\nHost: ");
-    client.write_all((last + &put("lookup", "behind", "1200m")).as_bytes()).expect("sent");
+    let last = put_request("lookup", "last", "1200m").replace("Host: ", "Connection: close\r\nHost: ");
+    client.write_all((last + &put_request("lookup", "behind", "1200m")).as_bytes()).expect("sent");
     let (bytes, error) = rest(&mut client);
     let text = String::from_utf8_lossy(&bytes);
     assert!(text.ends_with("last") && error.is_none(), "{text} {error:?}");
     barrier(&gateway, "after");
-    assert_eq!(node.requests(), 2, "the last one's, and the usual client's");
+    assert_eq!(node.request_count(), 2, "the last one's, and the usual client's");
 }
 
 // Lists that go silent.
@@ -618,24 +626,24 @@
 #[test_case(Silence::Drips)]
 #[test_case(Silence::Reset)]
 fn a_silent_watch_is_replaced_in_time(silence: Silence) {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.begin(&list);
+    let mut watch = calls.open_first_watch(&list);
     match silence {
         Silence::BehindHead | Silence::Reset => {}
-        Silence::BehindLine => assert!(watch.piece("\n")),
-        Silence::WithinLine | Silence::Drips => assert!(watch.piece("\n{\"index\": 42, ")),
+        Silence::BehindLine => assert!(watch.send_chunk("\n")),
+        Silence::WithinLine | Silence::Drips => assert!(watch.send_chunk("\n{\"index\": 42, ")),
     }
     let silent_since = Instant::now();
     barrier(&gateway, "before");
-    let changed = listing(43, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
+    let changed = node_list(43, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
     match silence {
         Silence::Reset => watch.reset(),
         Silence::Drips => {
             thread::spawn(move || {
-                while watch.piece(" ") {
+                while watch.send_chunk(" ") {
                     thread::sleep(Duration::from_millis(100));
                 }
             });
@@ -643,8 +651,8 @@
         _ => std::mem::forget(watch),
     }
     // The first new call hangs, and so does the second.
-    let hanging = [calls.next(), calls.next()];
-    let told = calls.tells(&changed);
+    let hanging = [calls.next_call(), calls.next_call()];
+    let told = calls.send_list_on_watch(&changed);
     obeyed(&gateway, &other);
     assert!(silent_since.elapsed() < TOLD, "{:?}", silent_since.elapsed());
     drop((hanging, told));
@@ -654,21 +662,21 @@
 /// that hangs, refuses one more and lets one hang.
 #[test]
 fn a_change_is_obeyed_in_time_after_discovery_is_back() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    calls.begin(&list).reset();
+    calls.open_first_watch(&list).reset();
     // So many that hang that waits are at their longest.
     let mut down = Vec::new();
     while down.len() < 6 {
-        down.push(calls.next());
+        down.push(calls.next_call());
     }
     let back = Instant::now();
-    calls.next().bytes("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
-    down.push(calls.next());
-    let changed = listing(43, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
-    let watch = calls.tells(&changed);
+    calls.next_call().send_raw("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+    down.push(calls.next_call());
+    let changed = node_list(43, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
+    let watch = calls.send_list_on_watch(&changed);
     obeyed(&gateway, &other);
     assert!(back.elapsed() < TOLD, "{:?}", back.elapsed());
     drop((watch, down));
@@ -679,99 +687,100 @@
 #[test]
 fn a_drain_told_at_the_return_of_discovery_is_kept_within_a_short_grace() {
     const GRACE: f64 = 0.5;
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |config| {
         config["settings"]["Rules"]["DrainGrace"] = json!(GRACE);
     });
-    calls.begin(&list).reset();
-    let mut down: Vec<_> = (0..4).map(|_| calls.next()).collect();
-    down.push(calls.next());
+    calls.open_first_watch(&list).reset();
+    let mut down: Vec<_> = (0..4).map(|_| calls.next_call()).collect();
+    down.push(calls.next_call());
     let back = Instant::now();
-    let changed = listing(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
+    let changed = node_list(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
     let (mut number, mut kept, mut late) = (0, 0, 0);
     let mut watch = None;
     while back.elapsed() < Duration::from_secs_f64(3.0) {
         // Each call from here on is answered at once.
-        if let Some(mut call) = calls.waiting() {
-            if call.watch {
-                call.opens();
-                call.piece(&format!("{changed}\n"));
+        if let Some(mut call) = calls.try_next_call() {
+            if call.is_watch {
+                call.open_watch();
+                call.send_chunk(&format!("{changed}\n"));
                 watch = Some(call);
             } else {
-                call.list(&changed);
+                call.send_list(&changed);
             }
         }
-        let before = one.requests();
+        let before = one.request_count();
         number += 1;
         let asked_at = back.elapsed().as_secs_f64();
-        assert_eq!(gateway.ask("lookup", &format!("id{number}")).0, 200);
-        if one.requests() > before {
+        assert_eq!(gateway.send_request("lookup", &format!("id{number}")).0, 200);
+        if one.request_count() > before {
             late += usize::from(asked_at > GRACE + 0.05);
             kept += 1;
         }
     }
     assert!(kept > 0, "the drain struck while the node was in use");
     assert_eq!(late, 0, "sent to the draining node past its grace");
-    assert!(other.requests() > 0);
+    assert!(other.request_count() > 0);
     drop((watch, down));
 }
 
 /// Guards against an indented list that is thrown away as unreadable, line by line.
 #[test]
 fn an_indented_list_is_read_from_the_watch() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.begin(&list);
+    let mut watch = calls.open_first_watch(&list);
     barrier(&gateway, "before");
-    let changed = listing(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
+    let changed = node_list(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]);
     let text = serde_json::to_string_pretty(&changed).expect("JSON") + "\n";
     text.as_bytes()
         .chunks(7)
-        .for_each(|piece| assert!(watch.piece(std::str::from_utf8(piece).expect("ASCII"))));
+        .for_each(|piece| assert!(watch.send_chunk(std::str::from_utf8(piece).expect("ASCII"))));
     obeyed(&gateway, &other);
-    assert!(calls.waiting().is_none(), "the watch stands");
+    assert!(calls.try_next_call().is_none(), "the watch stands");
 }
 
 /// Guards against a drain that an older whole list makes forgotten.
 #[test_case("terminating"; "a node that drains")]
 #[test_case("terminated"; "a node that is gone")]
 fn an_older_whole_list_does_not_take_back_a_drain(status: &str) {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.begin(&list);
-    let mut changed = listing(43, &[("s-1", one.address, status), ("s-2", other.address, "in_service")]);
+    let mut watch = calls.open_first_watch(&list);
+    let mut changed = node_list(43, &[("s-1", one.address, status), ("s-2", other.address, "in_service")]);
     changed["snapshot"] = json!(false);
-    watch.piece(&format!("{changed}\n"));
+    watch.send_chunk(&format!("{changed}\n"));
     obeyed(&gateway, &other);
-    let sent = one.requests();
+    let sent = one.request_count();
     // A line that cannot be read, so that the whole list is asked for: it is of before.
-    watch.piece("{}\n");
-    let mut older = listing(42, &[("s-1", one.address, "in_service"), ("s-2", other.address, "in_service")]);
+    watch.send_chunk("{}\n");
+    let mut older =
+        node_list(42, &[("s-1", one.address, "in_service"), ("s-2", other.address, "in_service")]);
     // Listed last, it would take the place of the other.
     older["endpoints"].as_array_mut().expect("a list").reverse();
-    let mut watch = calls.begin(&older);
-    watch.piece("\n");
+    let mut watch = calls.open_first_watch(&older);
+    watch.send_chunk("\n");
     for number in 0..20 {
         barrier(&gateway, &format!("after{number}"));
     }
-    assert_eq!(one.requests(), sent, "nothing more for a node that was told to drain");
+    assert_eq!(one.request_count(), sent, "nothing more for a node that was told to drain");
 }
 
 /// Guards against a start that serves by an older list than its agent has: what that has counts as told from the first
 /// moment, so nobody is told that we are up before it was heard.
 #[test]
 fn ready_only_once_discovery_was_heard() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let calls = Calls::start();
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    let call = calls.next();
+    let call = calls.next_call();
     let mut asks = gateway.connect();
     asks.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
     // Another client's error behind it is written, so the question was read.
@@ -779,63 +788,69 @@
     asks.set_nonblocking(true).expect("a socket");
     assert!(asks.read(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock), "not yet up");
     asks.set_nonblocking(false).expect("a socket");
-    call.list(&listing(43, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]));
+    call.send_list(&node_list(
+        43,
+        &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")],
+    ));
     assert_eq!(exchange(&mut asks, "").0, 200);
     for number in 0..10 {
         barrier(&gateway, &format!("id{number}"));
     }
-    assert_eq!((one.requests(), other.requests()), (0, 10));
+    assert_eq!((one.request_count(), other.request_count()), (0, 10));
 }
 
 /// Guards against a new configuration lost behind the one before it: the second comes while the first one's address is
 /// still being called, leads to a dead address, or back to the first.
 #[test]
 fn configurations_in_a_row() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
-    let (old, new) = (Calls::start(), Calls::start());
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
+    let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
     let gateway = Gateway::start(&list, old.address, |_| {});
-    let mut watch = old.begin(&list);
-    let kept = std::fs::read_to_string(&gateway.config).expect("its file");
+    let mut watch = old.open_first_watch(&list);
+    let kept = std::fs::read_to_string(&gateway.config_path).expect("its file");
     let moves = |to: std::net::SocketAddr| {
         let mut config: serde_json::Value = serde_json::from_str(&kept).expect("JSON");
         config["discovery"] = json!(to.to_string());
-        std::fs::write(&gateway.config, config.to_string()).expect("a file");
-        gateway.signal(Signal::HUP);
+        std::fs::write(&gateway.config_path, config.to_string()).expect("a file");
+        gateway.send_signal(Signal::HUP);
     };
     // Hangs.
     moves(new.address);
-    let hanging = new.next();
+    let hanging = new.next_call();
     // Refuses.
     let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     moves(dead);
-    until("it was read", || gateway.logged(&format!("configuration reloaded discovery={dead}")));
+    wait_until("it was read", || gateway.has_logged(&format!("configuration reloaded discovery={dead}")));
     // The old one is heard until another has told its list.
-    watch.piece(&format!(
+    watch.send_chunk(&format!(
         "{}\n",
-        listing(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")])
+        node_list(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")])
     ));
     let mut number = 0;
-    until("the old address is still heard", || {
+    wait_until("the old address is still heard", || {
         number += 1;
-        gateway.ask("lookup", &format!("id{number}")).0 == 200 && other.requests() > 0
+        gateway.send_request("lookup", &format!("id{number}")).0 == 200 && other.request_count() > 0
     });
     // Back to the first: the latest word holds.
     moves(old.address);
-    let mut call = old.next();
-    while call.watch {
-        call = old.next();
+    let mut call = old.next_call();
+    while call.is_watch {
+        call = old.next_call();
     }
-    call.list(&listing(44, &[("s-2", other.address, "terminating"), ("s-3", one.address, "in_service")]));
-    let before = one.requests();
-    until("the latest configuration holds", || {
+    call.send_list(&node_list(
+        44,
+        &[("s-2", other.address, "terminating"), ("s-3", one.address, "in_service")],
+    ));
+    let before = one.request_count();
+    wait_until("the latest configuration holds", || {
         number += 1;
-        gateway.ask("lookup", &format!("id{number}")).0 == 200 && one.requests() > before
+        gateway.send_request("lookup", &format!("id{number}")).0 == 200 && one.request_count() > before
     });
-    let sent = other.requests();
+    let sent = other.request_count();
     for number in 0..10 {
         barrier(&gateway, &format!("after{number}"));
     }
-    assert_eq!(other.requests(), sent, "it drains by the latest word");
+    assert_eq!(other.request_count(), sent, "it drains by the latest word");
     drop((hanging, watch));
 }
--- a/crates/programs/tests/floods.rs
+++ b/crates/programs/tests/floods.rs
@@ -11,7 +11,8 @@
 use std::time::{Duration, Instant};
 
 use rig::{
-    answer, exchange, id_of, listing, message, put, settles, until, Calls, Discovery, Gateway, Hand, Node,
+    answer_ok, exchange, node_list, put_request, read_message, request_id, wait_until, write_response,
+    Discovery, Gateway, ManualDiscovery, ManualNode, Node,
 };
 use rustix::process::Signal;
 use serde_json::json;
@@ -26,7 +27,7 @@
 fn long_put(class: &str, id: &str, time: &str) -> String {
     let pad: String = (0..14).map(|number| format!("X-Pad-{number}: {}\r\n", "p".repeat(1000))).collect();
     let body = "b".repeat(64 << 10);
-    put(class, id, time)
+    put_request(class, id, time)
         .replace("Content-Length: 4\r\n", &format!("Content-Length: {}\r\n{pad}", body.len()))
         .replace("\r\n\r\nbody", &format!("\r\n\r\n{body}"))
 }
@@ -43,18 +44,18 @@
 /// A gateway with one narrow node, a client whose long write is half out, and the node's end of that connection.
 fn half_written(
     class: &str, time: &str, may_cancel: bool,
-) -> (Hand, Calls, Gateway, TcpStream, TcpStream, rig::Call) {
-    let node = Hand::narrow();
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
-    let calls = Calls::start();
+) -> (ManualNode, ManualDiscovery, Gateway, TcpStream, TcpStream, rig::DiscoveryCall) {
+    let node = ManualNode::with_small_buffers();
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |config| {
         config["settings"]["Ceilings"]["MayCancel"] = json!(may_cancel);
     });
-    let watch = calls.begin(&list);
+    let watch = calls.open_first_watch(&list);
     let mut client = gateway.connect();
     client.write_all(long_put(class, "half", time).as_bytes()).expect("sent");
     let back = node.accept();
-    until("its first bytes have come", || back.peek(&mut [0]).is_ok_and(|count| count > 0));
+    wait_until("its first bytes have come", || back.peek(&mut [0]).is_ok_and(|count| count > 0));
     (node, calls, gateway, client, back, watch)
 }
 
@@ -87,17 +88,18 @@
 #[test]
 fn half_an_attempt_is_finished_though_its_node_drains() {
     let (node, _calls, gateway, mut client, mut back, mut watch) = half_written("buy", "2500m", true);
-    let other = Node::start(settles);
-    let changed = listing(42, &[("s-1", node.address, "terminating"), ("s-2", other.address, "in_service")]);
-    watch.piece(&format!("{changed}\n"));
+    let other = Node::start(answer_ok);
+    let changed =
+        node_list(42, &[("s-1", node.address, "terminating"), ("s-2", other.address, "in_service")]);
+    watch.send_chunk(&format!("{changed}\n"));
     let mut number = 0;
-    until("the drain is known", || {
+    wait_until("the drain is known", || {
         number += 1;
-        gateway.ask("lookup", &format!("id{number}")).0 == 200 && other.requests() > 0
+        gateway.send_request("lookup", &format!("id{number}")).0 == 200 && other.request_count() > 0
     });
-    let (head, body) = message(&mut back).expect("all of it");
-    assert_eq!((id_of(&head), body.len()), ("half", 64 << 10));
-    assert!(settles(0, &mut back, &head));
+    let (head, body) = read_message(&mut back).expect("all of it");
+    assert_eq!((request_id(&head), body.len()), ("half", 64 << 10));
+    assert!(answer_ok(0, &mut back, &head));
     assert_eq!(exchange(&mut client, "").2, "half");
     // No connection to a node that drains is kept.
     assert!(drained(&mut back).is_empty());
@@ -107,7 +109,7 @@
 
 fn drips(_: usize, stream: &mut TcpStream, head: &str) -> bool {
     let mut text = Vec::new();
-    let id = id_of(head).to_string();
+    let id = request_id(head).to_string();
     let _ = write!(text, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
     text.iter().all(|byte| {
         thread::sleep(Duration::from_millis(10));
@@ -119,16 +121,16 @@
 #[test]
 fn an_answer_by_single_bytes_is_whole_at_a_stop() {
     let node = Node::start(drips);
-    let (mut gateway, _discovery) = Gateway::with(&node);
+    let (mut gateway, _discovery) = Gateway::start_with_node(&node);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| gateway.connect()).collect();
-    gateway.signal(Signal::TERM);
+    gateway.send_signal(Signal::TERM);
     // The kill comes 3.2 s after the signal; the last answers are under way when idle connections are closed.
     let mut threads = Vec::new();
     for (number, mut client) in clients.drain(..).enumerate() {
         threads.push(thread::spawn(move || {
             thread::sleep(Duration::from_millis(600 * number as u64));
             let id = format!("id{number}");
-            (exchange(&mut client, &put("buy", &id, "2500m")), id)
+            (exchange(&mut client, &put_request("buy", &id, "2500m")), id)
         }));
     }
     for thread in threads {
@@ -143,15 +145,15 @@
 #[test_case(5, 200; "whole in time")]
 #[test_case(40, 503; "not whole at the end")]
 fn a_request_by_single_bytes_at_a_stop(pause: u64, status: u16) {
-    let node = Node::start(settles);
-    let (mut gateway, _discovery) = Gateway::with(&node);
-    gateway.signal(Signal::TERM);
+    let node = Node::start(answer_ok);
+    let (mut gateway, _discovery) = Gateway::start_with_node(&node);
+    gateway.send_signal(Signal::TERM);
     // Opened so late that patience with it lasts past the end.
     thread::sleep(Duration::from_millis(900));
     let mut slow = gateway.connect();
     let mut reader = slow.try_clone().expect("a socket");
     let writer = thread::spawn(move || {
-        let text = put("lookup", "slow", "1000m");
+        let text = put_request("lookup", "slow", "1000m");
         text.bytes().all(|byte| {
             thread::sleep(Duration::from_millis(pause));
             slow.write_all(&[byte]).is_ok()
@@ -159,7 +161,7 @@
     });
     let (found, head, _) = exchange(&mut reader, "");
     assert_eq!(found, status, "{head}");
-    assert_eq!(node.requests(), usize::from(status == 200));
+    assert_eq!(node.request_count(), usize::from(status == 200));
     let _ = reader.shutdown(Shutdown::Both);
     writer.join().expect("no panic");
     assert_eq!(gateway.child.wait().expect("ended").code(), Some(0));
@@ -168,10 +170,10 @@
 /// Guards against a new configuration lost where the steps of the stop are all due at once.
 #[test]
 fn sighup_behind_sigterm_with_short_deadlines_is_obeyed() {
-    let (one, other) = (Node::start(settles), Node::start(settles));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
+    let (one, other) = (Node::start(answer_ok), Node::start(answer_ok));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
     let old = Discovery::start(list.clone());
-    let new = Discovery::start(listing(
+    let new = Discovery::start(node_list(
         42,
         &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")],
     ));
@@ -182,22 +184,22 @@
         }
     });
     let mut config: serde_json::Value =
-        serde_json::from_slice(&std::fs::read(&gateway.config).expect("its file")).expect("JSON");
+        serde_json::from_slice(&std::fs::read(&gateway.config_path).expect("its file")).expect("JSON");
     config["discovery"] = json!(new.address.to_string());
-    std::fs::write(&gateway.config, config.to_string()).expect("a file");
+    std::fs::write(&gateway.config_path, config.to_string()).expect("a file");
     // Both lie there together.
     gateway.while_stopped(|| {
-        gateway.signal(Signal::TERM);
-        gateway.signal(Signal::HUP);
+        gateway.send_signal(Signal::TERM);
+        gateway.send_signal(Signal::HUP);
     });
     let began = Instant::now();
     let mut number = 0;
-    while other.requests() == 0 && began.elapsed() < Duration::from_millis(400) {
+    while other.request_count() == 0 && began.elapsed() < Duration::from_millis(400) {
         number += 1;
-        let text = put("lookup", &format!("id{number}"), "150m");
+        let text = put_request("lookup", &format!("id{number}"), "150m");
         assert_eq!(exchange(&mut gateway.connect(), &text).0, 200);
     }
-    assert!(other.requests() > 0, "the new address was not heard");
+    assert!(other.request_count() > 0, "the new address was not heard");
     assert_eq!(gateway.child.wait().expect("ended").code(), Some(0));
 }
 
@@ -223,8 +225,8 @@
 }
 
 fn endless_for_some(_: usize, stream: &mut TcpStream, head: &str) -> bool {
-    if !id_of(head).starts_with("endless") {
-        return settles(0, stream, head);
+    if !request_id(head).starts_with("endless") {
+        return answer_ok(0, stream, head);
     }
     // In pieces of one byte, so that there is no end of turns of it.
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -249,7 +251,7 @@
 #[test_case(Flood::Endless)]
 fn a_flood_leaves_the_others_their_turns(of: Flood) {
     let node = Node::start(endless_for_some);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway =
         Gateway::start(&list, discovery.address, |config| config["limits"]["memory_mb"] = json!(192));
@@ -259,7 +261,7 @@
         Flood::Ups => Some(flood(&gateway, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n".repeat(64), &stop)),
         Flood::BlankLines => Some(flood(&gateway, "\r\n".repeat(4096), &stop)),
         Flood::Endless => {
-            endless.write_all(put("buy", "endless", "2500m").as_bytes()).expect("sent");
+            endless.write_all(put_request("buy", "endless", "2500m").as_bytes()).expect("sent");
             None
         }
     };
@@ -267,7 +269,7 @@
     for number in 0..200 {
         let id = format!("id{number}");
         let began = Instant::now();
-        let (status, head, body) = exchange(&mut usual, &put("lookup", &id, "1000m"));
+        let (status, head, body) = exchange(&mut usual, &put_request("lookup", &id, "1000m"));
         assert_eq!((status, body), (200, id), "{head}");
         slowest = slowest.max(began.elapsed());
     }
@@ -289,7 +291,7 @@
     while began.elapsed() < lasts {
         let id = format!("id{number}");
         let asked = Instant::now();
-        let (status, head, body) = exchange(usual, &put("lookup", &id, "1000m"));
+        let (status, head, body) = exchange(usual, &put_request("lookup", &id, "1000m"));
         assert_eq!((status, body), (200, id), "{head} after {:?}", asked.elapsed());
         slowest = slowest.max(asked.elapsed());
         number += 1;
@@ -310,7 +312,7 @@
 
 fn answers_without_end() -> BesideEndless {
     let node = Node::start(endless_for_some);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway =
         Gateway::start(&list, discovery.address, |config| config["limits"]["memory_mb"] = json!(192));
@@ -320,8 +322,11 @@
         let endless = scope.spawn(|| {
             let (mut endless, mut slowest) = (0, Duration::ZERO);
             while !stop.load(Ordering::SeqCst) {
-                let text =
-                    put("buy", &format!("endless{endless}"), &format!("{}m", ENDLESS_TIME.as_millis()));
+                let text = put_request(
+                    "buy",
+                    &format!("endless{endless}"),
+                    &format!("{}m", ENDLESS_TIME.as_millis()),
+                );
                 let asked = Instant::now();
                 assert_eq!(exchange(&mut client, &text).0, 500, "no promise about what has begun");
                 slowest = slowest.max(asked.elapsed());
@@ -374,17 +379,17 @@
 #[test]
 fn a_stop_beside_answers_without_end_is_in_time() {
     let node = Node::start(endless_for_some);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let mut gateway =
         Gateway::start(&list, discovery.address, |config| config["limits"]["memory_mb"] = json!(192));
     let mut clients: Vec<TcpStream> = (0..4).map(|_| gateway.connect()).collect();
     // The kill comes as soon as the page allows: 0.7 s behind the longest deadline.
     let kill = Instant::now() + Duration::from_millis(2500 + 700);
-    gateway.signal(Signal::TERM);
+    gateway.send_signal(Signal::TERM);
     thread::sleep(Duration::from_millis(1500));
     for (number, client) in clients.iter_mut().enumerate() {
-        client.write_all(put("buy", &format!("endless{number}"), "2500m").as_bytes()).expect("sent");
+        client.write_all(put_request("buy", &format!("endless{number}"), "2500m").as_bytes()).expect("sent");
     }
     let answers: Vec<(u16, Instant)> = thread::scope(|scope| {
         let waits = |client| scope.spawn(move || (exchange(client, "").0, Instant::now()));
@@ -415,7 +420,7 @@
 /// Sends the flood on each call from now on, at full speed; lists are answered where they are not the flood themselves.
 /// Gives how many pieces were taken.
 fn flood_calls(
-    calls: Calls, list: serde_json::Value, of: DiscoveryFlood, stop: Arc<AtomicBool>,
+    calls: ManualDiscovery, list: serde_json::Value, of: DiscoveryFlood, stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<usize> {
     let piece = match of {
         DiscoveryFlood::BlankWatch | DiscoveryFlood::BlankList => "1\r\n \r\n".repeat(1 << 10),
@@ -428,18 +433,18 @@
     thread::spawn(move || {
         let taken = Arc::<AtomicUsize>::default();
         while !stop.load(Ordering::SeqCst) {
-            let Some(mut call) = calls.waiting() else {
+            let Some(mut call) = calls.try_next_call() else {
                 thread::sleep(Duration::from_millis(2));
                 continue;
             };
-            if !call.watch && of != DiscoveryFlood::BlankList {
-                call.list(&list);
+            if !call.is_watch && of != DiscoveryFlood::BlankList {
+                call.send_list(&list);
                 continue;
             }
             let (piece, stop, taken) = (piece.clone(), stop.clone(), taken.clone());
             thread::spawn(move || {
-                call.begins();
-                while !stop.load(Ordering::SeqCst) && call.takes(&piece) {
+                call.start_response();
+                while !stop.load(Ordering::SeqCst) && call.try_send_raw(&piece) {
                     taken.fetch_add(1, Ordering::SeqCst);
                 }
             });
@@ -460,13 +465,13 @@
 #[test_case(DiscoveryFlood::Objects)]
 #[test_case(DiscoveryFlood::BlankList)]
 fn a_flood_of_discovery_leaves_the_others_their_turns(of: DiscoveryFlood) {
-    let node = Node::start(settles);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
-    let calls = Calls::start();
+    let node = Node::start(answer_ok);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
+    let calls = ManualDiscovery::start();
     let gateway = Gateway::start(&list, calls.address, |_| {});
-    calls.begin(&list).reset();
+    calls.open_first_watch(&list).reset();
     let mut usual = gateway.connect();
-    assert_eq!(exchange(&mut usual, &put("lookup", "before", "1000m")).0, 200);
+    assert_eq!(exchange(&mut usual, &put_request("lookup", "before", "1000m")).0, 200);
     let stop = Arc::new(AtomicBool::new(false));
     let flood = flood_calls(calls, list, of, stop.clone());
     let slowest = slowest_usual(&mut usual, Duration::from_secs(4));
@@ -483,8 +488,8 @@
 #[test]
 fn the_most_clients_stay_within_the_memory() {
     const MEMORY: usize = 32;
-    let node = Node::start(settles);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(answer_ok);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway = Gateway::start(&list, discovery.address, |config| {
         config["limits"] = json!({"memory_mb": MEMORY, "sockets": 1024});
@@ -519,7 +524,7 @@
 // Many processes.
 
 fn settles_as_other(_: usize, stream: &mut TcpStream, _: &str) -> bool {
-    answer(stream, "200 OK", "other")
+    write_response(stream, "200 OK", "other")
 }
 
 /// An agent of discovery that many processes share: while it is down it is silent, or refuses.
@@ -562,16 +567,16 @@
 #[test_case(false; "silent")]
 #[test_case(true; "refuses")]
 fn twenty_processes_come_back_while_discovery_is_down(refuses: bool) {
-    let (one, other) = (Node::start(settles), Node::start(settles_as_other));
-    let list = listing(41, &[("s-1", one.address, "in_service")]);
+    let (one, other) = (Node::start(answer_ok), Node::start(settles_as_other));
+    let list = node_list(41, &[("s-1", one.address, "in_service")]);
     let agent = Agent::start(list.clone(), refuses);
     let starts = || Gateway::start(&list, agent.discovery.address, |_| {});
     let mut fleet: Vec<Gateway> = (0..20).map(|_| starts()).collect();
     for gateway in &fleet {
-        assert_eq!(gateway.ask("lookup", "before").0, 200);
+        assert_eq!(gateway.send_request("lookup", "before").0, 200);
     }
     agent.down.store(true, Ordering::SeqCst);
-    agent.discovery.shut.store(true, Ordering::SeqCst);
+    agent.discovery.is_down.store(true, Ordering::SeqCst);
     fleet.truncate(6);
     // Started together: each is asked at once whether it is up.
     let back: Vec<(Gateway, Duration)> = thread::scope(|scope| {
@@ -590,28 +595,29 @@
     assert!(10 * late <= back.len(), "{late} of {} came back late", back.len());
     fleet.extend(back.into_iter().map(|(gateway, _)| gateway));
     for gateway in &fleet {
-        assert_eq!(gateway.ask("lookup", "down").2, "down", "by what was known");
+        assert_eq!(gateway.send_request("lookup", "down").2, "down", "by what was known");
     }
-    until("all call", || agent.silent_calls.load(Ordering::SeqCst) >= 20);
-    agent
-        .discovery
-        .set(listing(42, &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")]));
-    agent.discovery.shut.store(false, Ordering::SeqCst);
+    wait_until("all call", || agent.silent_calls.load(Ordering::SeqCst) >= 20);
+    agent.discovery.set_list(node_list(
+        42,
+        &[("s-1", one.address, "terminating"), ("s-2", other.address, "in_service")],
+    ));
+    agent.discovery.is_down.store(false, Ordering::SeqCst);
     agent.down.store(false, Ordering::SeqCst);
     let returned = Instant::now();
     for (at, gateway) in fleet.iter().enumerate() {
         let mut number = 0;
-        until("the change is obeyed", || {
+        wait_until("the change is obeyed", || {
             number += 1;
-            gateway.ask("lookup", &format!("after{at}-{number}")).2 == "other"
+            gateway.send_request("lookup", &format!("after{at}-{number}")).2 == "other"
         });
     }
     assert!(returned.elapsed() < TOLD, "{:?}", returned.elapsed());
-    let sent = one.requests();
+    let sent = one.request_count();
     for gateway in &fleet {
-        assert_eq!(gateway.ask("lookup", "last").2, "other");
+        assert_eq!(gateway.send_request("lookup", "last").2, "other");
     }
-    assert_eq!(one.requests(), sent, "nothing more for the node that drains");
+    assert_eq!(one.request_count(), sent, "nothing more for the node that drains");
 }
 
 /// Guards against informational answers without end, which keep an attempt open, and memory growing.
@@ -622,27 +628,27 @@
         false
     }
     let node = Node::start(interim_for_ever);
-    let (gateway, _discovery) = Gateway::with(&node);
+    let (gateway, _discovery) = Gateway::start_with_node(&node);
     let began = Instant::now();
-    assert_eq!(gateway.ask("buy", "one").0, 500);
+    assert_eq!(gateway.send_request("buy", "one").0, 500);
     assert!(began.elapsed() < Duration::from_secs(1), "as soon as it is seen, not at its time");
-    until("its connection is closed", || node.ended.load(Ordering::SeqCst) == 1);
+    wait_until("its connection is closed", || node.closed_connections.load(Ordering::SeqCst) == 1);
 }
 
 /// Guards against an answer that crosses a reset: whole in the kernel before it, it is served or fails, once.
 #[test]
 fn an_answer_together_with_a_reset_is_served_whole_or_fails() {
-    let node = Hand::start();
-    let (gateway, _discovery) = Gateway::at(node.address);
+    let node = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(node.address);
     for number in 0..10 {
         let id = format!("id{number}");
         let mut client = gateway.connect();
-        client.write_all(put("buy", &id, "1000m").as_bytes()).expect("sent");
+        client.write_all(put_request("buy", &id, "1000m").as_bytes()).expect("sent");
         let mut back = node.accept();
-        let (head, _) = message(&mut back).expect("a request");
+        let (head, _) = read_message(&mut back).expect("a request");
         gateway.while_stopped(|| {
-            assert!(settles(0, &mut back, &head));
-            rig::resets(&back);
+            assert!(answer_ok(0, &mut back, &head));
+            rig::reset_on_close(&back);
             drop(back);
         });
         let (status, _, body) = exchange(&mut client, "");
@@ -654,19 +660,19 @@
 /// process finds that the time is up, in the same moment.
 #[test]
 fn an_answer_at_the_end_of_the_time_goes_out_once() {
-    let hand = Hand::start();
-    let (gateway, _discovery) = Gateway::at(hand.address);
+    let hand = ManualNode::start();
+    let (gateway, _discovery) = Gateway::start_with_node_at(hand.address);
     let mut client = gateway.connect();
-    client.write_all(put("buy", "late", "300m").as_bytes()).expect("sent");
+    client.write_all(put_request("buy", "late", "300m").as_bytes()).expect("sent");
     let mut back = hand.accept();
-    let (head, _) = message(&mut back).expect("a request");
+    let (head, _) = read_message(&mut back).expect("a request");
     gateway.while_stopped(|| {
         // Stopped until past its time, with the answer in the kernel before that.
-        assert!(settles(0, &mut back, &head));
+        assert!(answer_ok(0, &mut back, &head));
         thread::sleep(Duration::from_millis(400));
     });
     // What had come by then counts, and nothing comes behind it.
     assert_eq!(exchange(&mut client, "").2, "late");
-    let (status, _, body) = exchange(&mut client, &put("lookup", "next", "50m"));
+    let (status, _, body) = exchange(&mut client, &put_request("lookup", "next", "50m"));
     assert_ne!((status, body.as_str()), (200, "late"));
 }
--- a/crates/programs/tests/other_customers.rs
+++ b/crates/programs/tests/other_customers.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::sample::select;
 use proptest::test_runner::{RngSeed, TestRunner};
-use rig::{exchange, id_of, listing, settles, Discovery, Gateway, Node};
+use rig::{answer_ok, exchange, node_list, request_id, Discovery, Gateway, Node};
 use serde_json::{json, Map, Value};
 use test_case::test_case;
 
@@ -149,8 +149,8 @@
 
 /// Plays one draw: every class with every plan, one unit each, until it is served.
 fn play(settings: &Value, sockets: usize, memory: usize) -> Result<(), TestCaseError> {
-    let node = Node::start(settles);
-    let list = listing(41, &[("s-1", node.address, "in_service")]);
+    let node = Node::start(answer_ok);
+    let list = node_list(41, &[("s-1", node.address, "in_service")]);
     let discovery = Discovery::start(list.clone());
     let gateway = Gateway::start(&list, discovery.address, |config| {
         config["settings"] = settings.clone();
@@ -190,8 +190,13 @@
             }
         }
     }
-    let seen =
-        node.seen.lock().expect("no panic").iter().map(|head| id_of(head).to_string()).collect::<Vec<_>>();
+    let seen = node
+        .request_heads
+        .lock()
+        .expect("no panic")
+        .iter()
+        .map(|head| request_id(head).to_string())
+        .collect::<Vec<_>>();
     let mut once = seen.clone();
     once.sort();
     once.dedup();
--- a/crates/programs/tests/rig/discovery.rs
+++ b/crates/programs/tests/rig/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of a test: one that tells its list by itself, and one whose calls are in the test's hand.
+//! Discovery servers for tests: one that sends its list by itself, and one whose calls the test answers.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,9 +10,10 @@
 
 use serde_json::{json, Value};
 
-use super::{answer, message, resets, LONG};
+use super::{read_message, reset_on_close, write_response, MAX_WAIT};
 
-pub fn listing(index: u64, nodes: &[(&str, SocketAddr, &str)]) -> Value {
+/// A complete node list of this version in the JSON form of discovery. Each node is given by name, address and status.
+pub fn node_list(index: u64, nodes: &[(&str, SocketAddr, &str)]) -> Value {
     let endpoint = |(name, address, status): &(&str, SocketAddr, &str)| {
         json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 3,
                "status": status, "weight": 1.0, "since_ms": 0})
@@ -20,68 +21,70 @@
     json!({"index": index, "snapshot": true, "endpoints": nodes.iter().map(endpoint).collect::<Vec<_>>()})
 }
 
-/// Discovery: the list as it is, on the call and on the watch.
+/// A discovery server that sends its current list in response to a call and, after each change, on open watches.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
     pub list: Arc<Mutex<Value>>,
-    pub shut: Arc<AtomicBool>,
-    /// Ends its watches after each line.
-    pub brief: Arc<AtomicBool>,
-    /// When each list was written, and its version.
-    pub told: Arc<Mutex<Vec<(Instant, u64)>>>,
+    /// Closes new connections without a response and ends open watches.
+    pub is_down: Arc<AtomicBool>,
+    /// Ends each watch after one line.
+    pub closes_watch_after_line: Arc<AtomicBool>,
+    /// The time at which each list was written, and its version.
+    pub sent_lists: Arc<Mutex<Vec<(Instant, u64)>>>,
 }
 
 impl Discovery {
     pub fn start(list: Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let this = Discovery {
+        let discovery = Discovery {
             address,
             list: Arc::new(Mutex::new(list)),
-            shut: Arc::default(),
-            brief: Arc::default(),
-            told: Arc::default(),
+            is_down: Arc::default(),
+            closes_watch_after_line: Arc::default(),
+            sent_lists: Arc::default(),
         };
-        let all = this.clone();
+        let shared = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, this) = (stream.expect("a connection"), all.clone());
-                if this.shut.load(Ordering::SeqCst) {
+                let (mut stream, discovery) = (stream.expect("a connection"), shared.clone());
+                if discovery.is_down.load(Ordering::SeqCst) {
                     continue;
                 }
-                thread::spawn(move || this.serve(&mut stream));
+                thread::spawn(move || discovery.serve(&mut stream));
             }
         });
-        this
+        discovery
     }
 
+    /// Answers one call or watch; `None` once it has ended.
     pub fn serve(&self, stream: &mut TcpStream) -> Option<()> {
-        let (head, _) = message(stream)?;
-        let now = || self.list.lock().expect("no panic").clone();
+        let (head, _) = read_message(stream)?;
+        let current_list = || self.list.lock().expect("no panic").clone();
         if !head.contains("watch=1") {
-            let list = now();
-            if answer(stream, "200 OK", &list.to_string()) {
-                self.note(&list);
+            let list = current_list();
+            if write_response(stream, "200 OK", &list.to_string()) {
+                self.record_sent(&list);
             }
             return None;
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut told = Value::Null;
-        while !self.shut.load(Ordering::SeqCst) {
-            let list = now();
-            let line = if list == told { "\n".to_string() } else { format!("{list}\n") };
-            let news = list != told;
-            told = list;
-            // A line comes in two chunks.
-            let (one, other) = line.split_at(line.len() / 2);
-            for piece in [one, other].into_iter().filter(|piece| !piece.is_empty()) {
+        let mut last_sent = Value::Null;
+        while !self.is_down.load(Ordering::SeqCst) {
+            let list = current_list();
+            let line = if list == last_sent { "\n".to_string() } else { format!("{list}\n") };
+            let is_new = list != last_sent;
+            last_sent = list;
+            // Each line is sent in two chunks.
+            let (first_half, second_half) = line.split_at(line.len() / 2);
+            for piece in [first_half, second_half].into_iter().filter(|piece| !piece.is_empty()) {
                 stream.write_all(format!("{:x}\r\n{piece}\r\n", piece.len()).as_bytes()).ok()?;
             }
-            if news {
-                self.note(&told);
+            if is_new {
+                self.record_sent(&last_sent);
             }
-            if self.brief.load(Ordering::SeqCst) {
+            if self.closes_watch_after_line.load(Ordering::SeqCst) {
                 return None;
             }
             thread::sleep(Duration::from_millis(50));
@@ -89,66 +92,69 @@
         None
     }
 
-    fn note(&self, list: &Value) {
+    fn record_sent(&self, list: &Value) {
         let index = list["index"].as_u64().expect("a version");
-        self.told.lock().expect("no panic").push((Instant::now(), index));
+        self.sent_lists.lock().expect("no panic").push((Instant::now(), index));
     }
 
-    pub fn set(&self, list: Value) {
+    pub fn set_list(&self, list: Value) {
         *self.list.lock().expect("no panic") = list;
     }
 }
 
-/// A call to discovery, in the test's hand.
-pub struct Call {
+/// A call to discovery that the test answers.
+pub struct DiscoveryCall {
     stream: TcpStream,
-    pub watch: bool,
-    pub at: Instant,
+    pub is_watch: bool,
+    pub received_at: Instant,
 }
 
-impl Call {
-    /// The whole list, and the call's end.
-    pub fn list(mut self, list: &Value) {
-        assert!(!self.watch, "a call for the whole list is wanted");
-        answer(&mut self.stream, "200 OK", &list.to_string());
+impl DiscoveryCall {
+    /// Sends the complete list and ends the call.
+    pub fn send_list(mut self, list: &Value) {
+        assert!(!self.is_watch, "expected a call for the complete list");
+        write_response(&mut self.stream, "200 OK", &list.to_string());
     }
 
-    pub fn opens(&mut self) {
-        assert!(self.watch, "a watch is wanted");
-        self.begins();
+    /// Starts the response to a watch.
+    pub fn open_watch(&mut self) {
+        assert!(self.is_watch, "expected a watch");
+        self.start_response();
     }
 
-    /// The head of an answer in chunks, to whatever call.
-    pub fn begins(&mut self) {
-        self.bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    /// Sends the head of a chunked response, to a watch or a call for the list.
+    pub fn start_response(&mut self) {
+        self.send_raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /// A piece of the watch; false once its reader has gone.
-    pub fn piece(&mut self, text: &str) -> bool {
+    /// Sends one chunk; false once the reader has closed the connection.
+    pub fn send_chunk(&mut self, text: &str) -> bool {
         self.stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_ok()
     }
 
-    pub fn bytes(&mut self, text: &str) {
-        let _ = self.takes(text);
+    /// Sends bytes unchanged and ignores failures.
+    pub fn send_raw(&mut self, text: &str) {
+        let _ = self.try_send_raw(text);
     }
 
-    /// Sends bytes as they are; false once their reader has gone.
-    pub fn takes(&mut self, text: &str) -> bool {
+    /// Sends bytes unchanged; false once the reader has closed the connection.
+    pub fn try_send_raw(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).is_ok()
     }
 
+    /// Closes the connection with a reset.
     pub fn reset(self) {
-        resets(&self.stream);
+        reset_on_close(&self.stream);
     }
 }
 
-/// Discovery in the test's hand: each call comes here, and nothing is answered by itself.
-pub struct Calls {
+/// A discovery server whose calls the test takes in order and answers; nothing is answered automatically.
+pub struct ManualDiscovery {
     pub address: SocketAddr,
-    calls: Receiver<Call>,
+    calls: Receiver<DiscoveryCall>,
 }
 
-impl Calls {
+impl ManualDiscovery {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -157,44 +163,50 @@
             for stream in listener.incoming() {
                 let (mut stream, sender) = (stream.expect("a connection"), sender.clone());
                 thread::spawn(move || {
-                    if let Some((head, _)) = message(&mut stream) {
-                        let _ =
-                            sender.send(Call { watch: head.contains("watch=1"), stream, at: Instant::now() });
+                    if let Some((head, _)) = read_message(&mut stream) {
+                        let _ = sender.send(DiscoveryCall {
+                            is_watch: head.contains("watch=1"),
+                            stream,
+                            received_at: Instant::now(),
+                        });
                     }
                 });
             }
         });
-        Calls { address, calls }
+        ManualDiscovery { address, calls }
     }
 
-    pub fn next(&self) -> Call {
-        self.calls.recv_timeout(LONG).expect("a call to discovery")
+    /// Waits for the next call.
+    pub fn next_call(&self) -> DiscoveryCall {
+        self.calls.recv_timeout(MAX_WAIT).expect("a call to discovery")
     }
 
-    /// Whether one has come meanwhile.
-    pub fn waiting(&self) -> Option<Call> {
+    /// The next call, if one has already arrived.
+    pub fn try_next_call(&self) -> Option<DiscoveryCall> {
         self.calls.try_recv().ok()
     }
 
-    /// Answers the call for the whole list, where that comes first, and opens the watch behind it.
-    pub fn begin(&self, list: &Value) -> Call {
-        let mut call = self.next();
-        while !call.watch {
-            call.list(list);
-            call = self.next();
+    /// Answers calls for the complete list until the first watch arrives, and opens that watch.
+    pub fn open_first_watch(&self, list: &Value) -> DiscoveryCall {
+        let mut call = self.next_call();
+        while !call.is_watch {
+            call.send_list(list);
+            call = self.next_call();
         }
-        call.opens();
+        call.open_watch();
         call
     }
-    /// Tells the whole list on the next call, be it for the list or for a watch; gives a watch that stays open.
-    pub fn tells(&self, list: &Value) -> Call {
-        let mut call = self.next();
-        if !call.watch {
-            call.list(list);
-            call = self.next();
+
+    /// Sends the complete list: first in response to the next call, if that is not a watch, and then on the watch that
+    /// follows. Returns the watch, which stays open.
+    pub fn send_list_on_watch(&self, list: &Value) -> DiscoveryCall {
+        let mut call = self.next_call();
+        if !call.is_watch {
+            call.send_list(list);
+            call = self.next_call();
         }
-        call.opens();
-        call.piece(&format!("{list}\n"));
+        call.open_watch();
+        call.send_chunk(&format!("{list}\n"));
         call
     }
 }
--- a/crates/programs/tests/soak/client.rs
+++ b/crates/programs/tests/soak/client.rs
@@ -10,7 +10,7 @@
 
 use crate::process::Fleet;
 use crate::record::{Class, Event};
-use crate::rig::put;
+use crate::rig::put_request;
 use crate::script::{Manner, Script};
 
 /// A request that has neither an answer nor an end of its connection for so long behind its time never will.
@@ -108,7 +108,7 @@
             Class::Buy => ("buy", buy),
         };
         let hosts = format!("hosts={}", self.script.processes);
-        let text = put(name, &id, &format!("{}m", (budget * 1e3) as u64)).replace("hosts=2", &hosts);
+        let text = put_request(name, &id, &format!("{}m", (budget * 1e3) as u64)).replace("hosts=2", &hosts);
         Request { id, class, budget, text }
     }
 
--- a/crates/programs/tests/soak/node.rs
+++ b/crates/programs/tests/soak/node.rs
@@ -11,7 +11,7 @@
 use rustix::net::RecvFlags;
 
 use crate::record::{Event, Recorder};
-use crate::rig::{answer, id_of, message, resets};
+use crate::rig::{read_message, request_id, reset_on_close, write_response};
 use crate::script::Mood;
 
 /// How late a second answer comes ("some milliseconds" of the platform's page), and how late one may be to be sent at all.
@@ -72,8 +72,8 @@
                 return;
             }
             let began = Instant::now();
-            let Some((head, _)) = message(&mut stream) else { return };
-            let id = id_of(&head).to_string();
+            let Some((head, _)) = read_message(&mut stream) else { return };
+            let id = request_id(&head).to_string();
             self.recorder.note_at(began, Event::AttemptBegan { id: id.clone(), node: self.number });
             let open_before = self.open(&id, &stream);
             self.recorder.note(Event::AttemptArrived {
@@ -126,14 +126,14 @@
         match self.mood() {
             Mood::Settles | Mood::Hangs => self.settle(stream, id),
             Mood::Resets => {
-                resets(stream);
+                reset_on_close(stream);
                 false
             }
             Mood::Pieces => self.settle_by_pieces(stream, id),
             Mood::AnswersTwice => self.settle_twice(stream, id),
             Mood::Fails => {
                 self.close(id, stream);
-                answer(stream, "500 Error", "")
+                write_response(stream, "500 Error", "")
             }
             Mood::TurnsAway => {
                 self.recorder.note(Event::TurnedAway { id: id.to_string() });
@@ -153,7 +153,7 @@
     fn settle(&self, stream: &mut TcpStream, id: &str) -> bool {
         self.recorder.note(Event::Served { id: id.to_string() });
         self.close(id, stream);
-        answer(stream, "200 OK", id)
+        write_response(stream, "200 OK", id)
     }
 
     fn settle_by_pieces(&self, stream: &mut TcpStream, id: &str) -> bool {
@@ -177,7 +177,7 @@
         thread::spawn(move || {
             thread::sleep(SECOND_ANSWER);
             // A machine that overslept makes it too late to be one of some milliseconds.
-            if began.elapsed() < SECOND_ANSWER_MOST && answer(&mut second, "200 OK", &id) {
+            if began.elapsed() < SECOND_ANSWER_MOST && write_response(&mut second, "200 OK", &id) {
                 recorder.strike("second answers");
             }
         });
--- a/crates/programs/tests/soak/play.rs
+++ b/crates/programs/tests/soak/play.rs
@@ -17,7 +17,7 @@
 use crate::node::{Node, OpenAttempts};
 use crate::process::Fleet;
 use crate::record::{Event, Recorder};
-use crate::rig::{listing, message, put, Discovery};
+use crate::rig::{node_list, put_request, read_message, Discovery};
 use crate::script::{Mood, Script, Trouble, LASTS};
 
 /// How often memory and descriptors are looked at.
@@ -55,7 +55,7 @@
             .zip(&self.listed)
             .map(|(node, (name, status))| (name.as_str(), node.address, *status))
             .collect();
-        listing(self.index, &entries)
+        node_list(self.index, &entries)
     }
 }
 
@@ -160,7 +160,7 @@
         nodes.index += 1;
         change(&mut nodes);
         let list = nodes.list();
-        self.fleet.discoveries.iter().for_each(|discovery| discovery.set(list.clone()));
+        self.fleet.discoveries.iter().for_each(|discovery| discovery.set_list(list.clone()));
     }
 
     /// The first node goes on, so that there is one to serve.
@@ -200,7 +200,7 @@
     fn discovery_down(&self, lasts: Duration) -> bool {
         let shut = |down: bool| {
             let all = self.fleet.discoveries.iter();
-            all.for_each(|discovery| discovery.shut.store(down, Ordering::SeqCst));
+            all.for_each(|discovery| discovery.is_down.store(down, Ordering::SeqCst));
         };
         shut(true);
         thread::sleep(lasts);
@@ -211,18 +211,18 @@
     /// Idle clients that would fill the descriptors, while discovery is down.
     fn crowd(&self, process: usize, clients: usize) -> bool {
         let Some(address) = self.fleet.address(process) else { return false };
-        self.fleet.discoveries[process].shut.store(true, Ordering::SeqCst);
+        self.fleet.discoveries[process].is_down.store(true, Ordering::SeqCst);
         let idle: Vec<_> = (0..clients).filter_map(|_| TcpStream::connect(address).ok()).collect();
         thread::sleep(CROWD_STAYS);
-        self.fleet.discoveries[process].shut.store(false, Ordering::SeqCst);
+        self.fleet.discoveries[process].is_down.store(false, Ordering::SeqCst);
         idle.len() == clients
     }
 
     fn bodies(&self, process: usize, clients: usize) -> bool {
         let Some(address) = self.fleet.address(process) else { return false };
         let length = 64 << 10;
-        let head =
-            put("lookup", "body", "1000m").replace("Content-Length: 4", &format!("Content-Length: {length}"));
+        let head = put_request("lookup", "body", "1000m")
+            .replace("Content-Length: 4", &format!("Content-Length: {length}"));
         let text = head.replace("\r\n\r\nbody", &format!("\r\n\r\n{}", "b".repeat(length - 1)));
         let mut held = Vec::new();
         for _ in 0..clients {
@@ -253,7 +253,7 @@
     fn events(&self) -> Vec<(f64, Event)> {
         let drains = self.nodes.lock().expect("no panic").drains.clone();
         for (process, discovery) in self.fleet.discoveries.iter().enumerate() {
-            let told = discovery.told.lock().expect("no panic").clone();
+            let told = discovery.sent_lists.lock().expect("no panic").clone();
             for (index, node) in &drains {
                 let first = told.iter().find(|(_, told)| told >= index);
                 let event = Event::DrainTold { process, node: *node };
@@ -320,7 +320,7 @@
         for stream in listener.incoming() {
             let (mut stream, ends) = (stream.expect("a connection"), ends.clone());
             thread::spawn(move || {
-                if message(&mut stream).is_none() {
+                if read_message(&mut stream).is_none() {
                     return;
                 }
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/crates/programs/tests/soak/process.rs
+++ b/crates/programs/tests/soak/process.rs
@@ -125,7 +125,7 @@
         let Some(gateway) = slot.gateway.as_mut() else { return false };
         let runs = matches!(gateway.child.try_wait(), Ok(None));
         if runs {
-            gateway.signal(signal);
+            gateway.send_signal(signal);
         }
         runs
     }
@@ -206,10 +206,10 @@
     /// Keeps the log of one that has ended, and looks there for a panic.
     fn bury(&self, process: usize, mut gateway: Gateway) {
         let _ = gateway.child.wait();
-        for line in gateway.lines_with("panicked") {
+        for line in gateway.log_lines_with("panicked") {
             self.recorder.note(Event::Panicked { process, line });
         }
-        let log = gateway.lines_with("").join("\n");
+        let log = gateway.log_lines_with("").join("\n");
         self.slot(process).logs.push(log);
     }
 
@@ -224,7 +224,7 @@
                 Address::Flooding => self.flooding,
                 Address::First => self.discoveries[process].address,
             };
-            let Some(config) = self.slot(process).gateway.as_ref().map(|gateway| gateway.config.clone())
+            let Some(config) = self.slot(process).gateway.as_ref().map(|gateway| gateway.config_path.clone())
             else {
                 return false;
             };
