--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -62,9 +62,9 @@
     check_period * (22.0 + 6.0 * (members.max(2) as f64).log2())
 }
 
-/// Maximum bytes per second that a member sends, whatever the size of the fleet: a check and its helpers in each period,
-/// four times as many datagrams for the checks of other members, two pages in each period with answers to as many, and
-/// signals.
+/// Maximum bytes per second that a member sends, whatever the size of the fleet: a check and its helpers in each
+/// period, four times as many datagrams for the checks of other members, two pages in each period with answers to as
+/// many, and signals.
 pub fn max_bytes_per_second(check_period: f64, helpers: usize) -> f64 {
     let checks = 5.0 * (1.0 + 2.0 * helpers as f64);
     (checks + 8.0) * message::MAX_DATAGRAM_BYTES as f64 / check_period + crate::signal::MAX_BYTES_PER_SECOND
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,11 +1,11 @@
-//! Shared periodic duties. Each duty is run by one member; another member takes it over when that one dies, and gives it
-//! back when that one returns.
+//! Shared periodic duties. Each duty is run by one member; another member takes it over when that one dies, and gives
+//! it back when that one returns.
 //!
 //! The owner of a duty follows from the live members alone, by weighted rendezvous hashing, so a member that joins or
 //! leaves moves only its own share. The result of each run is sent to all members. While a member with a better claim
-//! runs a duty, members with lesser claims do not, even if their lists of live members differ: claims of members that run
-//! the duty decide, not lists. If the member with the best claim does not run the duty, for example because it has no list
-//! of nodes, the next one takes over after some periods.
+//! runs a duty, members with lesser claims do not, even if their lists of live members differ: claims of members that
+//! run the duty decide, not lists. If the member with the best claim does not run the duty, for example because it
+//! has no list of nodes, the next one takes over after some periods.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Duties that this member has to run now, given the live members with their weights. `version` changes with the set
-    /// of live members. No duty is run before `from`.
+    /// Duties that this member has to run now, given the live members with their weights. `version` changes with the
+    /// set of live members. No duty is run before `from`.
     pub fn take_due(&mut self, now: f64, version: u64, live: &[(MemberId, u8)], from: f64) -> Vec<DutyId> {
         self.update_candidates(version, live);
         let (own_id, weight, interval) = (self.own_id, self.weight, self.interval);
@@ -197,8 +197,8 @@
     /// the better claim, in whatever order they arrive, so that two members that run a duty in step both learn which of
     /// them owns it.
     ///
-    /// A result that comes from the member that ran the duty, and is behind what is known here, makes the known result be
-    /// sent again: a member that joined late has not received earlier rounds.
+    /// A result that comes from the member that ran the duty, and is behind what is known here, makes the known
+    /// result be sent again: a member that joined late has not received earlier rounds.
     pub fn apply_result(&mut self, now: f64, sender: MemberId, result: &DutyResult) {
         let Some(state) = self.states.get(&result.duty) else { return };
         let received_claim = claim(result.duty, result.done_by, result.weight);
--- a/crates/fleet/src/explore.rs
+++ b/crates/fleet/src/explore.rs
@@ -1,9 +1,9 @@
-//! All small cases of lending: every order of looks, messages late, lost, repeated and reordered, one restart without
-//! memory, stops and clocks at both ends of the drift, over the very core and stores that run. Breadth first with
-//! hashed states; a breach comes with the steps that lead to it, of which there are no fewer.
+//! Exhaustive search of all small cases of lending: every order of reviews, messages that are late, lost, repeated or
+//! reordered, one restart without memory, stalls, and clocks at both ends of their drift. The search runs the same core
+//! and token buckets as production, breadth first, with a hash for each state. A breach comes with a shortest list of
+//! steps that leads to it.
 //!
-//! A process that stands still is one that takes no step while time goes on. A message that is lost is one that stays
-//! on its way.
+//! A stalled process is one that takes no step while time advances. A lost message is one that stays in transit.
 
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
@@ -13,140 +13,161 @@
 use quaypath::types::{LimitBalance, LimitId};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::lending::{lender_hold, Ledger, Lend, Safeguard, DRIFT, LENGTH};
+use crate::lending::{lender_hold, Ledger, Lending, Safeguard, LOAN_SECONDS, MAX_CLOCK_DRIFT};
 use crate::signal::Part;
 use crate::MemberId;
 
-const ACCOUNT: LimitId = LimitId(7);
-/// Each initiator's even part, units.
-const CAP: f64 = 4.0;
-/// Time goes on by this part of a loan's length at once.
-const STEP: f64 = 0.5 * LENGTH;
+const LIMIT: LimitId = LimitId(7);
+/// Even part of each initiator, units.
+const EVEN_PART: f64 = 4.0;
+/// Seconds that one step of time advances.
+const TIME_STEP: f64 = 0.5 * LOAN_SECONDS;
 
-/// How far the search goes.
+/// Limits of the search. The counts of events are maximums for one case.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub initiators: usize,
-    /// How many of them may wait for units; the others only lend.
-    pub askers: usize,
-    /// Grants that are given in one case, at most.
+    /// Number of initiators that may borrow; the others only lend.
+    pub borrowers: usize,
+    /// Number of loans granted.
     pub grants: u32,
+    /// Number of deliveries of a message that stays in transit.
     pub repeats: u32,
+    /// Number of restarts, over all processes.
     pub restarts: u32,
-    /// Steps of time.
-    pub time: u32,
-    /// Times that a process spends all that it has.
+    /// Number of steps by which time advances.
+    pub time_steps: u32,
+    /// How often a process spends all units in its bucket.
     pub spends: u32,
-    /// Units a second that each store fills with: none shows units made twice, many show room given twice.
-    pub rate: f64,
-    /// How each clock runs: slow, right or fast.
-    pub clocks: Vec<i8>,
-    pub without: Option<Safeguard>,
-    /// States looked at, at most.
-    pub most: usize,
+    /// Units per second that each bucket refills with. Without refill, units that were created appear; with a high
+    /// rate, room that was given twice appears.
+    pub refill_rate: f64,
+    /// Drift of each clock: -1 slow, 0 correct, 1 fast.
+    pub clock_drifts: Vec<i8>,
+    pub disabled_safeguard: Option<Safeguard>,
+    /// Maximum number of states visited.
+    pub max_states: usize,
 }
 
+/// One step of a case. Processes and messages are given by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    Time,
-    /// This one looks, and waits for units or has none to wait for.
-    Look(usize, bool),
-    /// A message on its way comes, by its place among them; or comes and is on its way once more.
-    Comes(usize),
-    Repeats(usize),
-    /// Starts again without memory.
-    Restarts(usize),
-    Spends(usize),
+    AdvanceTime,
+    /// This process reviews its limit, with a shortfall or without.
+    Review(usize, bool),
+    /// A message in transit arrives.
+    Deliver(usize),
+    /// A copy of a message in transit arrives; the message stays in transit.
+    DeliverCopy(usize),
+    /// This process restarts without memory.
+    Restart(usize),
+    /// This process spends all units in its bucket.
+    Spend(usize),
 }
 
+/// Result of a search.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct SearchResult {
+    /// States visited, and steps to the last of them.
     pub visited: usize,
     pub depth: usize,
-    /// Whether the bound on states ended the search.
+    /// Whether the maximum number of states ended the search.
     pub cut_short: bool,
-    /// Loans given and taken over all cases, so that a quiet search is seen.
-    pub given: u64,
-    pub taken: u64,
-    pub lapsed: u64,
+    /// Loans granted, borrowed and expired over all cases, to recognize a search in which nothing happens.
+    pub granted: u64,
+    pub borrowed: u64,
+    pub expired: u64,
+    /// Steps to the first breach, and its description.
     pub breach: Option<(Vec<Step>, String)>,
 }
 
+/// A message in transit.
 #[derive(Clone, Debug)]
 struct Message {
     from: usize,
     to: usize,
     incarnation: u32,
     part: Part,
-    /// The same, to compare by.
+    /// The encoded message, for comparisons.
     bytes: Vec<u8>,
 }
 
+/// One initiator.
 #[derive(Clone, Debug)]
 struct Process {
-    lend: Lend,
-    store: TokenBucket,
+    lending: Lending,
+    bucket: TokenBucket,
     incarnation: u32,
-    wants: f64,
+    /// Units that the initiator is short of; 0 for one that only lends.
+    shortfall: f64,
 }
 
+/// One state of the search. The counts are those of the events so far.
 #[derive(Clone, Debug)]
 struct World {
     processes: Vec<Process>,
-    net: Vec<Message>,
-    time: u32,
+    in_transit: Vec<Message>,
+    time_steps: u32,
     grants: u32,
     repeats: u32,
     restarts: u32,
     spends: u32,
+    /// Units spent by all processes.
     spent: f64,
-    /// Room to write the state in.
+    /// Buffer for the encoded state.
     bytes: Vec<u8>,
 }
 
-struct Books<'a> {
-    store: &'a mut TokenBucket,
-    wants: f64,
-    rate: f64,
+/// The ledger of one process.
+struct BucketLedger<'a> {
+    bucket: &'a mut TokenBucket,
+    shortfall: f64,
+    refill_rate: f64,
 }
 
-impl Ledger for Books<'_> {
+impl Ledger for BucketLedger<'_> {
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
-        self.limit_balance(now, ACCOUNT).into_iter().collect()
+        self.limit_balance(now, LIMIT).into_iter().collect()
     }
     fn limit_balance(&mut self, now: f64, _: LimitId) -> Option<LimitBalance> {
-        self.store.refill(now, self.rate, CAP);
-        let spare = if self.wants > 0.0 { 0.0 } else { self.store.level };
-        Some(LimitBalance { limit_id: ACCOUNT, spare, shortfall: self.wants })
+        self.bucket.refill(now, self.refill_rate, EVEN_PART);
+        let spare = if self.shortfall > 0.0 { 0.0 } else { self.bucket.level };
+        Some(LimitBalance { limit_id: LIMIT, spare, shortfall: self.shortfall })
     }
-    fn transfer(&mut self, now: f64, _: LimitId, units: f64, until: f64) -> bool {
-        self.store.refill(now, self.rate, CAP);
-        self.store.transfer(units, until)
+    fn transfer(&mut self, now: f64, _: LimitId, units: f64, expires_at: f64) -> bool {
+        self.bucket.refill(now, self.refill_rate, EVEN_PART);
+        self.bucket.transfer(units, expires_at)
     }
 }
 
 impl Process {
-    /// One that has just started, and knows who else shares the account.
-    fn start(bounds: &Bounds, me: MemberId, now: f64, incarnation: u32, mut store: TokenBucket) -> Process {
+    /// A process that has just started, and knows all sharers of the limit.
+    fn start(
+        bounds: &Bounds, own_id: MemberId, now: f64, incarnation: u32, mut bucket: TokenBucket,
+    ) -> Process {
         let members: Vec<MemberId> = (0..bounds.initiators as u16).map(MemberId).collect();
-        let mut lend = Lend::new(me, members.clone(), bounds.without);
-        lend.look(now, &mut Books { store: &mut store, wants: 0.0, rate: bounds.rate }, &mut Vec::new());
-        for one in members.into_iter().filter(|one| *one != me) {
-            lend.shares(now, ACCOUNT, one);
+        let mut lending = Lending::new(own_id, members.clone(), bounds.disabled_safeguard);
+        lending.review(
+            now,
+            &mut BucketLedger { bucket: &mut bucket, shortfall: 0.0, refill_rate: bounds.refill_rate },
+            &mut Vec::new(),
+        );
+        for member in members.into_iter().filter(|member| *member != own_id) {
+            lending.record_sharer(now, LIMIT, member);
         }
-        Process { lend, store, incarnation, wants: 0.0 }
+        Process { lending, bucket, incarnation, shortfall: 0.0 }
     }
 }
 
 impl World {
     fn start(bounds: &Bounds) -> World {
         let members: Vec<MemberId> = (0..bounds.initiators as u16).map(MemberId).collect();
-        let store = TokenBucket { level: CAP, ..TokenBucket::default() };
-        let processes = members.iter().map(|me| Process::start(bounds, *me, 0.0, 1, store.clone()));
+        let bucket = TokenBucket { level: EVEN_PART, ..TokenBucket::default() };
+        let processes = members.iter().map(|own_id| Process::start(bounds, *own_id, 0.0, 1, bucket.clone()));
         World {
             processes: processes.collect(),
-            net: Vec::new(),
-            time: 0,
+            in_transit: Vec::new(),
+            time_steps: 0,
             grants: 0,
             repeats: 0,
             restarts: 0,
@@ -156,64 +177,76 @@
         }
     }
 
-    fn clock(&self, bounds: &Bounds, at: usize) -> f64 {
-        f64::from(self.time) * STEP * (1.0 + DRIFT * f64::from(bounds.clocks[at]))
+    fn clock(&self, bounds: &Bounds, index: usize) -> f64 {
+        f64::from(self.time_steps)
+            * TIME_STEP
+            * (1.0 + MAX_CLOCK_DRIFT * f64::from(bounds.clock_drifts[index]))
     }
 
-    /// Runs one process's core, and puts what it says on its way.
+    /// Passes an event to the core of one process, and puts the messages that it sends in transit.
     fn run(
-        &mut self, bounds: &Bounds, at: usize,
-        act: impl FnOnce(&mut Lend, f64, &mut Books, &mut Vec<(MemberId, Part)>),
+        &mut self, bounds: &Bounds, index: usize,
+        event: impl FnOnce(&mut Lending, f64, &mut BucketLedger, &mut Vec<(MemberId, Part)>),
     ) {
-        let now = self.clock(bounds, at);
-        let process = &mut self.processes[at];
+        let now = self.clock(bounds, index);
+        let process = &mut self.processes[index];
         let mut out = Vec::new();
-        let mut books = Books { store: &mut process.store, wants: process.wants, rate: bounds.rate };
-        act(&mut process.lend, now, &mut books, &mut out);
+        let mut ledger = BucketLedger {
+            bucket: &mut process.bucket,
+            shortfall: process.shortfall,
+            refill_rate: bounds.refill_rate,
+        };
+        event(&mut process.lending, now, &mut ledger, &mut out);
         for (to, part) in out {
             self.grants += u32::from(matches!(part, Part::Grant { .. }));
-            // Who shares the account is known here from the start.
-            if !matches!(part, Part::Here(_) | Part::Sharers(..)) {
+            // All sharers of the limit are known from the start.
+            if !matches!(part, Part::Announcement(_) | Part::Sharers(..)) {
                 let to = usize::from(to.0);
-                let mut bytes = vec![at as u8, to as u8, process.incarnation as u8];
-                part.put(&mut bytes);
-                self.net.push(Message { from: at, to, incarnation: process.incarnation, part, bytes });
+                let mut bytes = vec![index as u8, to as u8, process.incarnation as u8];
+                part.encode(&mut bytes);
+                self.in_transit.push(Message {
+                    from: index,
+                    to,
+                    incarnation: process.incarnation,
+                    part,
+                    bytes,
+                });
             }
         }
     }
 
-    fn comes(&mut self, bounds: &Bounds, message: &Message) {
+    fn deliver(&mut self, bounds: &Bounds, message: &Message) {
         let Message { from, to, incarnation, part, .. } = message.clone();
-        let ours = self.processes[to].incarnation;
+        let own_incarnation = self.processes[to].incarnation;
         let from = MemberId(from as u16);
-        self.run(bounds, to, |lend, now, books, out| {
-            lend.part_received(now, from, (incarnation, ours), &part, books, out)
+        self.run(bounds, to, |lending, now, ledger, out| {
+            lending.part_received(now, from, (incarnation, own_incarnation), &part, ledger, out)
         });
     }
 
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.time < bounds.time {
-            steps.push(Step::Time);
+        if self.time_steps < bounds.time_steps {
+            steps.push(Step::AdvanceTime);
         }
-        for at in 0..self.processes.len() {
-            if at < bounds.askers {
-                steps.extend([Step::Look(at, true), Step::Look(at, false)]);
+        for index in 0..self.processes.len() {
+            if index < bounds.borrowers {
+                steps.extend([Step::Review(index, true), Step::Review(index, false)]);
             }
             if self.restarts < bounds.restarts {
-                steps.push(Step::Restarts(at));
+                steps.push(Step::Restart(index));
             }
             if self.spends < bounds.spends {
-                steps.push(Step::Spends(at));
+                steps.push(Step::Spend(index));
             }
         }
-        for (at, message) in self.net.iter().enumerate() {
-            if matches!(message.part, Part::Ask { .. }) && self.grants >= bounds.grants {
+        for (index, message) in self.in_transit.iter().enumerate() {
+            if matches!(message.part, Part::Request { .. }) && self.grants >= bounds.grants {
                 continue;
             }
-            steps.push(Step::Comes(at));
+            steps.push(Step::Deliver(index));
             if self.repeats < bounds.repeats {
-                steps.push(Step::Repeats(at));
+                steps.push(Step::DeliverCopy(index));
             }
         }
         steps
@@ -221,147 +254,155 @@
 
     fn step(&mut self, bounds: &Bounds, step: Step) {
         match step {
-            Step::Time => self.time += 1,
-            Step::Look(at, wants) => {
-                self.processes[at].wants = if wants { 4.0 * CAP } else { 0.0 };
-                self.run(bounds, at, |lend, now, books, out| lend.look(now, books, out));
+            Step::AdvanceTime => self.time_steps += 1,
+            Step::Review(index, has_shortfall) => {
+                self.processes[index].shortfall = if has_shortfall { 4.0 * EVEN_PART } else { 0.0 };
+                self.run(bounds, index, |lending, now, ledger, out| lending.review(now, ledger, out));
             }
-            Step::Comes(at) => {
-                let message = self.net.remove(at);
-                self.comes(bounds, &message);
+            Step::Deliver(index) => {
+                let message = self.in_transit.remove(index);
+                self.deliver(bounds, &message);
             }
-            Step::Repeats(at) => {
+            Step::DeliverCopy(index) => {
                 self.repeats += 1;
-                let message = self.net[at].clone();
-                self.comes(bounds, &message);
+                let message = self.in_transit[index].clone();
+                self.deliver(bounds, &message);
             }
-            Step::Restarts(at) => {
+            Step::Restart(index) => {
                 self.restarts += 1;
-                let now = self.clock(bounds, at);
-                let hold = if bounds.without == Some(Safeguard::Hold) { 0.0 } else { lender_hold() };
-                let store = TokenBucket { filled_at: now + hold, ..TokenBucket::default() };
-                let incarnation = self.processes[at].incarnation + 1;
-                self.processes[at] = Process::start(bounds, MemberId(at as u16), now, incarnation, store);
+                let now = self.clock(bounds, index);
+                let hold = if bounds.disabled_safeguard == Some(Safeguard::RestartHold) {
+                    0.0
+                } else {
+                    lender_hold()
+                };
+                let bucket = TokenBucket { filled_at: now + hold, ..TokenBucket::default() };
+                let incarnation = self.processes[index].incarnation + 1;
+                self.processes[index] =
+                    Process::start(bounds, MemberId(index as u16), now, incarnation, bucket);
             }
-            Step::Spends(at) => {
+            Step::Spend(index) => {
                 self.spends += 1;
-                let now = self.clock(bounds, at);
-                let store = &mut self.processes[at].store;
-                store.refill(now, bounds.rate, CAP);
-                self.spent += std::mem::take(&mut store.level);
+                let now = self.clock(bounds, index);
+                let bucket = &mut self.processes[index].bucket;
+                bucket.refill(now, bounds.refill_rate, EVEN_PART);
+                self.spent += std::mem::take(&mut bucket.level);
             }
         }
-        self.net.sort_by(|one, other| one.bytes.cmp(&other.bytes));
+        self.in_transit.sort_by(|a, b| a.bytes.cmp(&b.bytes));
     }
 
-    /// At this moment all together have no more than all even parts; and without filling, with what was spent.
+    /// Checks that all processes together hold no more than all even parts; without refill, spent units count too.
     fn breach(&self, bounds: &Bounds) -> Option<String> {
-        let clocks: Vec<f64> = (0..self.processes.len()).map(|at| self.clock(bounds, at)).collect();
+        let clocks: Vec<f64> = (0..self.processes.len()).map(|index| self.clock(bounds, index)).collect();
         let levels = self.processes.iter().zip(clocks).map(|(process, now)| {
-            let mut store = process.store.clone();
-            store.refill(now, bounds.rate, CAP);
-            store.level
+            let mut bucket = process.bucket.clone();
+            bucket.refill(now, bounds.refill_rate, EVEN_PART);
+            bucket.level
         });
         let levels: Vec<f64> = levels.collect();
-        let all = levels.iter().sum::<f64>() + if bounds.rate > 0.0 { 0.0 } else { self.spent };
-        let most = CAP * self.processes.len() as f64;
-        (all > most + 1e-6).then(|| format!("{all} units of {most}: {levels:?}, {} spent", self.spent))
+        let total = levels.iter().sum::<f64>() + if bounds.refill_rate > 0.0 { 0.0 } else { self.spent };
+        let allowed = EVEN_PART * self.processes.len() as f64;
+        (total > allowed + 1e-6)
+            .then(|| format!("{total} units of {allowed}: {levels:?}, {} spent", self.spent))
     }
 
-    fn key(&mut self) -> u128 {
+    /// Hash of the whole state.
+    fn state_hash(&mut self) -> u128 {
         self.bytes.clear();
         let mut bytes = std::mem::take(&mut self.bytes);
         for process in &self.processes {
-            process.lend.state(&mut bytes);
-            process.store.encode_state(&mut bytes);
+            process.lending.encode_state(&mut bytes);
+            process.bucket.encode_state(&mut bytes);
             bytes.extend(process.incarnation.to_le_bytes());
-            bytes.extend(process.wants.to_bits().to_le_bytes());
+            bytes.extend(process.shortfall.to_bits().to_le_bytes());
         }
-        for message in &self.net {
+        for message in &self.in_transit {
             bytes.extend(&message.bytes);
         }
-        let counts = [self.time, self.grants, self.repeats, self.restarts, self.spends];
+        let counts = [self.time_steps, self.grants, self.repeats, self.restarts, self.spends];
         counts.iter().for_each(|count| bytes.extend(count.to_le_bytes()));
         bytes.extend(self.spent.to_bits().to_le_bytes());
-        let key = xxh3_128(&bytes);
+        let hash = xxh3_128(&bytes);
         self.bytes = bytes;
-        key
+        hash
     }
 }
 
-/// The way to a state, last step first.
-struct Way {
+/// The steps that lead to a state, last step first.
+struct Path {
     step: Step,
-    before: Option<Rc<Way>>,
+    previous: Option<Rc<Path>>,
 }
 
-fn steps_of(mut way: Option<Rc<Way>>) -> Vec<Step> {
+fn steps_of(mut path: Option<Rc<Path>>) -> Vec<Step> {
     let mut steps = Vec::new();
-    while let Some(at) = way {
-        steps.push(at.step);
-        way = at.before.clone();
+    while let Some(last) = path {
+        steps.push(last.step);
+        path = last.previous.clone();
     }
     steps.reverse();
     steps
 }
 
-/// Searches all cases within the bounds, up to the first breach.
-pub fn explore(bounds: &Bounds) -> Found {
-    let mut found = Found::default();
+/// Searches all cases within the bounds, until the first breach.
+pub fn explore(bounds: &Bounds) -> SearchResult {
+    let mut result = SearchResult::default();
     let mut seen = HashSet::new();
     let mut world = World::start(bounds);
-    seen.insert(world.key());
-    let mut queue: VecDeque<(World, Option<Rc<Way>>, usize)> = VecDeque::from([(world, None, 0)]);
-    while let Some((world, way, depth)) = queue.pop_front() {
-        (found.visited, found.depth) = (found.visited + 1, depth);
+    seen.insert(world.state_hash());
+    let mut queue: VecDeque<(World, Option<Rc<Path>>, usize)> = VecDeque::from([(world, None, 0)]);
+    while let Some((world, path, depth)) = queue.pop_front() {
+        (result.visited, result.depth) = (result.visited + 1, depth);
         for step in world.steps(bounds) {
             let mut next = world.clone();
             next.step(bounds, step);
-            if !seen.insert(next.key()) {
+            if !seen.insert(next.state_hash()) {
                 continue;
             }
             for process in &mut next.processes {
-                let counts = std::mem::take(&mut process.lend.counts);
-                found.given += counts.given;
-                found.taken += counts.taken;
-                found.lapsed += counts.lapsed;
+                let counts = std::mem::take(&mut process.lending.counts);
+                result.granted += counts.granted;
+                result.borrowed += counts.borrowed;
+                result.expired += counts.expired;
             }
-            let way = Some(Rc::new(Way { step, before: way.clone() }));
-            if let Some(what) = next.breach(bounds) {
-                found.breach = Some((steps_of(way), what));
-                return found;
+            let path = Some(Rc::new(Path { step, previous: path.clone() }));
+            if let Some(breach) = next.breach(bounds) {
+                result.breach = Some((steps_of(path), breach));
+                return result;
             }
-            queue.push_back((next, way, depth + 1));
+            queue.push_back((next, path, depth + 1));
         }
-        if seen.len() >= bounds.most {
-            found.cut_short = true;
-            return found;
+        if seen.len() >= bounds.max_states {
+            result.cut_short = true;
+            return result;
         }
     }
-    found
+    result
 }
 
-/// One case of many more initiators and steps than can all be searched, drawn by a seed; the steps up to a breach.
-pub fn walk(bounds: &Bounds, seed: u64, steps: usize) -> Option<(Vec<Step>, String)> {
-    let mut chance = WyRand::new_seed(seed);
-    let (mut world, mut taken) = (World::start(bounds), Vec::new());
+/// Runs one random case, drawn by a seed, for numbers of initiators and steps that cannot be searched exhaustively.
+/// Returns the steps up to a breach and its description.
+pub fn random_walk(bounds: &Bounds, seed: u64, steps: usize) -> Option<(Vec<Step>, String)> {
+    let mut rng = WyRand::new_seed(seed);
+    let (mut world, mut done) = (World::start(bounds), Vec::new());
     for _ in 0..steps {
-        let mut choice = world.steps(bounds);
-        // Time would run out before anything happens if it went on at every chance.
-        if chance.generate_range(0..4u8) > 0 && choice.len() > 1 {
-            choice.retain(|step| *step != Step::Time);
+        let mut choices = world.steps(bounds);
+        // If time advanced as often as any other step, it would run out before anything happens.
+        if rng.generate_range(0..4u8) > 0 && choices.len() > 1 {
+            choices.retain(|step| *step != Step::AdvanceTime);
         }
-        let step = choice[chance.generate_range(0..choice.len())];
+        let step = choices[rng.generate_range(0..choices.len())];
         world.step(bounds, step);
-        taken.push(step);
-        if let Some(what) = world.breach(bounds) {
-            return Some((taken, what));
+        done.push(step);
+        if let Some(breach) = world.breach(bounds) {
+            return Some((done, breach));
         }
     }
     None
 }
 
-/// Plays steps again; what they break, if anything.
+/// Runs a list of steps. Returns the description of the breach that they end in, if any.
 pub fn replay(bounds: &Bounds, steps: &[Step]) -> Option<String> {
     let mut world = World::start(bounds);
     for step in steps {
--- a/crates/fleet/src/lending.rs
+++ b/crates/fleet/src/lending.rs
@@ -1,14 +1,17 @@
-//! Parts of an account, a volume's limit, that follow who needs them: units are lent for
-//! [`LENGTH`] and end by themselves. Each initiator has its even part; what one can do without goes to one that waits.
+//! Lending of units between initiators. A volume's limit is divided evenly: each initiator has an even part of it. An
+//! initiator that does not need its part lends units to one that has too few, for [`LOAN_SECONDS`]; loans expire
+//! without a message.
 //!
-//! Units are taken from the giver's store before it says so, and count as gone there, with their room, until they have
-//! surely lapsed at the taker: [`lender_hold`]. The taker counts from its own asking, so however late the grant is, it lapses
-//! there first. So at no moment do stores and loans on the way hold more than all even parts together, whatever is
-//! lost, late, repeated, stopped or restarted; a giver that starts again without memory fills nothing for as long.
-//! The argument: `docs/design/lending.md`; all small cases: [`crate::explore`].
+//! The lender takes the units out of its token bucket before it sends the grant. The units, and the room that they
+//! took in the bucket, stay deducted until they have certainly expired at the borrower ([`lender_hold`]). The
+//! borrower counts the loan's time from its own request, so the loan expires at the borrower first, however late the
+//! grant arrives. So at no time do the buckets and the loans in transit hold more than all even parts together,
+//! whatever messages are lost, late or repeated and whichever processes are stalled or restarted; a lender that
+//! restarts without memory does not refill its bucket for the same time. The argument is in `docs/design/lending.md`;
+//! [`crate::explore`] searches all small cases.
 //!
-//! Who shares an account is not listed anywhere: whoever has it says so to two members that all find by the account's
-//! name, and these tell the others.
+//! No list says which initiators share a limit. Each initiator that uses a limit announces it to two members, the
+//! trackers, which all initiators derive from the limit's id; the trackers tell the sharers of each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,213 +22,248 @@
 use crate::signal::Part;
 use crate::MemberId;
 
-/// How long units are lent, seconds on the taker's clock: some tens of round trips of the slowest news, and short, as
-/// one that starts again holds back for as long.
-pub const LENGTH: f64 = 0.5;
-/// How much faster or slower than true time a clock may run.
-pub const DRIFT: f64 = 0.05;
-/// How often an account is looked at.
-pub const LOOK: f64 = 0.1;
-/// An ask without an answer is made again after this, and then after twice as long each time, up to the last.
-const AGAIN: f64 = 0.2;
-const MOST_WAIT: f64 = 2.0;
-/// Without a need for this long what is left of a loan goes back.
-const IDLE: f64 = 0.2;
-/// How often a sharer says that it is there, and after how long without it is forgotten.
-const HERE: f64 = 4.0;
-const FORGET: f64 = 3.0 * HERE;
-/// Members that know who shares an account.
-const KNOWERS: usize = 2;
-/// Sharers of one account that are kept, and told in one message.
-const MOST_SHARERS: usize = 32;
-pub const MOST_TOLD: usize = 16;
-/// Accounts that are kept for others, and that this member itself lends and borrows.
-const MOST_ACCOUNTS: usize = 4096;
-/// Loans that are out at one time; no more are given.
-const MOST_LOANS: usize = 1024;
-/// Less than this is not worth a message, units.
-const LEAST: f64 = 0.5;
-/// Steps of a unit that loans are counted in.
-const STEPS: f64 = 64.0;
+/// Time of a loan, seconds on the borrower's clock. It is some tens of round trips of the slowest messages, and short,
+/// because a process that restarts holds its units back for as long.
+pub const LOAN_SECONDS: f64 = 0.5;
+/// Maximum deviation of the rate of a clock from true time, as a fraction.
+pub const MAX_CLOCK_DRIFT: f64 = 0.05;
+/// Seconds between two reviews of all limits.
+pub const REVIEW_INTERVAL: f64 = 0.1;
+/// Seconds after which an unanswered request is repeated; each further wait is twice as long, up to [`MAX_RETRY_WAIT`].
+const FIRST_RETRY_WAIT: f64 = 0.2;
+const MAX_RETRY_WAIT: f64 = 2.0;
+/// Seconds without a shortfall after which the remaining units of a loan are returned.
+const RETURN_AFTER: f64 = 0.2;
+/// Seconds between two announcements of a sharer.
+const ANNOUNCE_INTERVAL: f64 = 4.0;
+/// Seconds without an announcement after which a sharer is forgotten.
+const SHARER_EXPIRY: f64 = 3.0 * ANNOUNCE_INTERVAL;
+/// Number of members that track the sharers of one limit.
+const TRACKERS: usize = 2;
+/// Maximum number of sharers recorded for one limit.
+const MAX_SHARERS: usize = 32;
+/// Maximum number of sharers in one message.
+pub const MAX_SHARERS_SENT: usize = 16;
+/// Maximum number of limits that are tracked for others, and maximum number that this member itself lends and borrows.
+const MAX_LIMITS: usize = 4096;
+/// Maximum number of loans that are granted, and that are borrowed, at one time.
+const MAX_LOANS: usize = 1024;
+/// Minimum units of a request or loan; fewer are not worth a message.
+const MIN_UNITS: f64 = 0.5;
+/// Loans are counted in steps of this fraction of a unit, which the message format carries exactly.
+const STEPS_PER_UNIT: f64 = 64.0;
 
-/// Time that a loan counts as gone at its giver, seconds on its own clock: the giver's may run fast, the taker's slow.
+/// Seconds on the lender's clock during which lent units stay deducted: the lender's clock may run fast and the
+/// borrower's slow.
 pub fn lender_hold() -> f64 {
-    LENGTH * (1.0 + DRIFT) / (1.0 - DRIFT)
+    LOAN_SECONDS * (1.0 + MAX_CLOCK_DRIFT) / (1.0 - MAX_CLOCK_DRIFT)
 }
 
-/// What keeps a promise of lending and of signals, and can be taken away to see that a test notices.
+/// A mechanism that a guarantee of lending or signals depends on. Each can be disabled to show that a test notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Safeguard {
-    /// The taker counts from its asking, not from when the grant came.
-    FromAsking,
-    /// The giver waits for the worst clocks.
-    Drift,
-    /// A grant is taken once.
-    Once,
-    /// A grant to an earlier incarnation of the taker is not taken.
-    Life,
-    /// One that starts again fills nothing until what it may have lent has lapsed.
-    Hold,
-    /// What comes back is counted once.
-    Back,
-    /// Loans end.
-    End,
-    /// What is lent is taken from the giver's store.
-    Sum,
-    /// What was borrowed is not lent on: when it lapses, the room that went on with it would be nobody's.
-    OwnOnly,
-    /// News that came before are not counted again.
-    Repeats,
-    /// News count by when they were measured.
-    Age,
-    /// One asker gets an even part of what is spare at most.
-    Fair,
+    /// The borrower counts the loan's time from its request, not from the arrival of the grant.
+    ExpiryFromRequest,
+    /// The lender allows for the worst deviation of both clocks.
+    ClockDrift,
+    /// A grant is accepted once.
+    GrantOnce,
+    /// A grant to an earlier incarnation of the borrower is not accepted.
+    Incarnation,
+    /// A process that restarts does not refill its bucket until loans that it may have granted have expired.
+    RestartHold,
+    /// Returned units are counted once.
+    ReturnOnce,
+    /// Loans expire.
+    Expiry,
+    /// Lent units are taken out of the lender's bucket.
+    Deduction,
+    /// Borrowed units are not lent on. When they expire, the room that was lent on with them would belong to nobody.
+    OwnUnitsOnly,
+    /// Reports that arrived before are not counted again.
+    DuplicateReports,
+    /// Reports are weighted by the time of their measurement.
+    ReportAge,
+    /// One borrower gets at most an even part of the spare units.
+    FairShare,
 }
 
 impl Safeguard {
+    /// All safeguards with their names on the command line.
     pub const ALL: [(&'static str, Safeguard); 12] = [
-        ("from-asking", Safeguard::FromAsking),
-        ("drift", Safeguard::Drift),
-        ("once", Safeguard::Once),
-        ("life", Safeguard::Life),
-        ("hold", Safeguard::Hold),
-        ("back", Safeguard::Back),
-        ("end", Safeguard::End),
-        ("sum", Safeguard::Sum),
-        ("own-only", Safeguard::OwnOnly),
-        ("repeats", Safeguard::Repeats),
-        ("age", Safeguard::Age),
-        ("fair", Safeguard::Fair),
+        ("from-asking", Safeguard::ExpiryFromRequest),
+        ("drift", Safeguard::ClockDrift),
+        ("once", Safeguard::GrantOnce),
+        ("life", Safeguard::Incarnation),
+        ("hold", Safeguard::RestartHold),
+        ("back", Safeguard::ReturnOnce),
+        ("end", Safeguard::Expiry),
+        ("sum", Safeguard::Deduction),
+        ("own-only", Safeguard::OwnUnitsOnly),
+        ("repeats", Safeguard::DuplicateReports),
+        ("age", Safeguard::ReportAge),
+        ("fair", Safeguard::FairShare),
     ];
 }
 
-/// The stores that units are moved between: the decision core's, or those of an explorer or a test.
+/// The token buckets that units are moved between: those of the decision core, the explorer or a test.
 pub trait Ledger {
-    /// Accounts that are shared with others, and what each can do without or waits for.
+    /// The limits that are shared with other initiators, with the spare units and the shortfall of each.
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance>;
-    /// One of them, if it is here.
-    fn limit_balance(&mut self, now: f64, account: LimitId) -> Option<LimitBalance> {
-        self.limit_balances(now).into_iter().find(|need| need.limit_id == account)
+    /// The balance of one limit, none if it is not used here.
+    fn limit_balance(&mut self, now: f64, limit_id: LimitId) -> Option<LimitBalance> {
+        self.limit_balances(now).into_iter().find(|balance| balance.limit_id == limit_id)
     }
-    /// Units come or go, and count up to `until`; false, and nothing done, where they are not there.
-    fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool;
+    /// Adds units to the bucket of a limit, or takes them out if `units` is below zero; they count until `expires_at`.
+    /// Returns false and changes nothing if the bucket does not hold the units.
+    fn transfer(&mut self, now: f64, limit_id: LimitId, units: f64, expires_at: f64) -> bool;
 }
 
+/// A request for units that was sent to one member.
 #[derive(Clone, Debug, PartialEq)]
-struct Ask {
+struct Request {
     number: u32,
-    at: f64,
+    sent_at: f64,
     units: f64,
-    /// How long until it is asked again; longer the more often there was nothing.
-    wait: f64,
+    /// Seconds until the request is repeated; grows with each unanswered request.
+    retry_wait: f64,
 }
 
+/// Units that were granted to, or borrowed from, another member.
 #[derive(Clone, Debug, PartialEq)]
 struct Loan {
-    account: LimitId,
-    with: MemberId,
+    limit_id: LimitId,
+    partner: MemberId,
+    /// Number of the borrower's request.
     number: u32,
-    /// The other's incarnation.
+    /// Incarnation of the other member.
     incarnation: u32,
     units: f64,
-    until: f64,
+    expires_at: f64,
 }
 
+/// A limit that this member shares.
 #[derive(Clone, Debug, PartialEq)]
-struct Mine {
-    said_at: f64,
-    needed_at: f64,
-    /// Who was asked last.
-    last: MemberId,
-    asked: BTreeMap<MemberId, Ask>,
-    /// Who asked here, when last, in which incarnation and by which number.
-    askers: BTreeMap<MemberId, (f64, u32, u32)>,
+struct OwnLimit {
+    announced_at: f64,
+    last_shortfall_at: f64,
+    /// Member that was sent a request last.
+    last_asked: MemberId,
+    /// Latest request to each member.
+    requests: BTreeMap<MemberId, Request>,
+    /// Latest request of each other member: when it arrived, the member's incarnation, the request's number.
+    requesters: BTreeMap<MemberId, (f64, u32, u32)>,
 }
 
+/// Counters of lending since the start.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct LendCounts {
-    pub asked: u64,
-    pub given: u64,
-    pub given_units: f64,
-    pub taken: u64,
-    pub taken_units: f64,
-    pub back: u64,
-    /// Grants that came too late, twice, or for an earlier incarnation.
+pub struct LendingCounts {
+    /// Requests sent.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Loans granted, and their units.
+    #[serde(rename = "given")]
+    pub granted: u64,
+    #[serde(rename = "given_units")]
+    pub granted_units: f64,
+    /// Loans borrowed, and their units.
+    #[serde(rename = "taken")]
+    pub borrowed: u64,
+    #[serde(rename = "taken_units")]
+    pub borrowed_units: f64,
+    /// Returns of borrowed units.
+    #[serde(rename = "back")]
+    pub returned: u64,
+    /// Grants that arrived too late, twice, or for an earlier incarnation.
     pub void: u64,
-    pub lapsed: u64,
+    /// Borrowed loans that expired.
+    #[serde(rename = "lapsed")]
+    pub expired: u64,
 }
 
+/// Lending of one initiator: what it announces, requests, grants and returns.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lend {
-    me: MemberId,
+pub struct Lending {
+    own_id: MemberId,
     members: Vec<MemberId>,
-    without: Option<Safeguard>,
-    /// Members that are held dead: nobody asks them, and others know the sharers in their place.
+    disabled_safeguard: Option<Safeguard>,
+    /// Members that are recorded as dead. They get no requests, and other members track sharers in their place.
     dead: BTreeSet<MemberId>,
+    /// Number of the last request.
     number: u32,
-    mine: BTreeMap<LimitId, Mine>,
+    own_limits: BTreeMap<LimitId, OwnLimit>,
+    /// For each limit: its sharers, and when each was announced last.
     sharers: BTreeMap<LimitId, BTreeMap<MemberId, f64>>,
-    given: Vec<Loan>,
-    taken: Vec<Loan>,
-    pub counts: LendCounts,
+    granted: Vec<Loan>,
+    borrowed: Vec<Loan>,
+    pub counts: LendingCounts,
 }
 
+/// Parts of messages to send, with their receivers.
 type Out<'a> = &'a mut Vec<(MemberId, Part)>;
 
-impl Lend {
-    pub fn new(me: MemberId, members: Vec<MemberId>, without: Option<Safeguard>) -> Lend {
-        Lend {
-            me,
+impl Lending {
+    pub fn new(own_id: MemberId, members: Vec<MemberId>, disabled_safeguard: Option<Safeguard>) -> Lending {
+        Lending {
+            own_id,
             members,
-            without,
+            disabled_safeguard,
             dead: BTreeSet::new(),
             number: 0,
-            mine: BTreeMap::new(),
+            own_limits: BTreeMap::new(),
             sharers: BTreeMap::new(),
-            given: Vec::new(),
-            taken: Vec::new(),
-            counts: LendCounts::default(),
+            granted: Vec::new(),
+            borrowed: Vec::new(),
+            counts: LendingCounts::default(),
         }
     }
 
     fn lacks(&self, safeguard: Safeguard) -> bool {
-        self.without == Some(safeguard)
+        self.disabled_safeguard == Some(safeguard)
     }
 
-    /// All that decides what it does next, for an explorer to tell two states apart by: not what it only counts, nor
-    /// when sharers were heard of, which decides nothing for as long as an explorer looks.
-    pub fn state(&self, out: &mut Vec<u8>) {
+    /// Appends all state that decides what this initiator does next, by which an explorer tells two states apart.
+    /// Leaves out counters, and the times of announcements, which decide nothing within the time that an explorer
+    /// covers.
+    pub fn encode_state(&self, out: &mut Vec<u8>) {
         let mut put = |value: f64| out.extend(value.to_bits().to_le_bytes());
         put(f64::from(self.number));
-        for mine in self.mine.values() {
-            put(mine.needed_at);
-            put(f64::from(mine.last.0));
-            for (member, ask) in &mine.asked {
-                let of = [f64::from(member.0), f64::from(ask.number), ask.at, ask.units, ask.wait];
-                of.into_iter().for_each(&mut put);
+        for own_limit in self.own_limits.values() {
+            put(own_limit.last_shortfall_at);
+            put(f64::from(own_limit.last_asked.0));
+            for (member, request) in &own_limit.requests {
+                let values = [
+                    f64::from(member.0),
+                    f64::from(request.number),
+                    request.sent_at,
+                    request.units,
+                    request.retry_wait,
+                ];
+                values.into_iter().for_each(&mut put);
             }
             put(-1.0);
-            for (member, (at, incarnation, number)) in &mine.askers {
-                let of = [f64::from(member.0), *at, f64::from(*incarnation), f64::from(*number)];
-                of.into_iter().for_each(&mut put);
+            for (member, (at, incarnation, number)) in &own_limit.requesters {
+                let values = [f64::from(member.0), *at, f64::from(*incarnation), f64::from(*number)];
+                values.into_iter().for_each(&mut put);
             }
             put(-2.0);
         }
-        for loans in [&self.given, &self.taken] {
+        for loans in [&self.granted, &self.borrowed] {
             for loan in loans {
-                let of = [f64::from(loan.with.0), f64::from(loan.number), f64::from(loan.incarnation)];
-                of.into_iter().chain([loan.units, loan.until]).for_each(&mut put);
+                let values = [f64::from(loan.partner.0), f64::from(loan.number), f64::from(loan.incarnation)];
+                values.into_iter().chain([loan.units, loan.expires_at]).for_each(&mut put);
             }
             put(-3.0);
         }
     }
 
-    /// Asks as if nothing had been asked for; what a process does that shouts.
-    pub fn ask_anew(&mut self) {
-        self.mine.values_mut().for_each(|mine| mine.asked.clear());
+    /// Forgets all own requests, so that they are sent again at once. Used for a faulty process that always claims
+    /// units.
+    pub fn forget_requests(&mut self) {
+        self.own_limits.values_mut().for_each(|own_limit| own_limit.requests.clear());
     }
 
-    /// What is held of a member changed.
+    /// Records whether a member is dead.
     pub fn set_member_dead(&mut self, member: MemberId, dead: bool) {
         if dead {
             self.dead.insert(member);
@@ -238,255 +276,319 @@
         self.dead.contains(&member)
     }
 
-    /// Who knows the sharers of an account: the same for all that hold the same members live.
-    fn knowers(&self, account: LimitId) -> Vec<MemberId> {
+    /// The members that track the sharers of a limit: the same at all members that record the same members as dead.
+    fn trackers(&self, limit_id: LimitId) -> Vec<MemberId> {
         let claim = |member: &MemberId| {
             let mut bytes = [0; 10];
-            bytes[..8].copy_from_slice(&account.0.to_le_bytes());
+            bytes[..8].copy_from_slice(&limit_id.0.to_le_bytes());
             bytes[8..].copy_from_slice(&member.0.to_le_bytes());
             (xxh3_64(&bytes), *member)
         };
-        highest_ranked(self.members.iter().filter(|member| !self.dead.contains(member)).map(claim), KNOWERS)
+        highest_ranked(self.members.iter().filter(|member| !self.dead.contains(member)).map(claim), TRACKERS)
     }
 
-    /// Remembers a sharer; whether it is new.
-    pub fn shares(&mut self, now: f64, account: LimitId, member: MemberId) -> bool {
-        if !self.sharers.contains_key(&account) && self.sharers.len() >= MOST_ACCOUNTS {
+    /// Records a sharer of a limit. Returns whether it is new.
+    pub fn record_sharer(&mut self, now: f64, limit_id: LimitId, member: MemberId) -> bool {
+        if !self.sharers.contains_key(&limit_id) && self.sharers.len() >= MAX_LIMITS {
             return false;
         }
-        let known = self.sharers.entry(account).or_default();
-        if known.len() >= MOST_SHARERS && !known.contains_key(&member) {
-            let oldest =
-                known.iter().min_by(|one, other| one.1.total_cmp(other.1)).map(|(member, _)| *member);
+        let known = self.sharers.entry(limit_id).or_default();
+        if known.len() >= MAX_SHARERS && !known.contains_key(&member) {
+            let oldest = known.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(member, _)| *member);
             oldest.and_then(|oldest| known.remove(&oldest));
         }
         known.insert(member, now).is_none()
     }
 
-    fn forget(&mut self, now: f64) {
-        let before = self.taken.len();
-        self.taken.retain(|loan| now < loan.until);
-        self.counts.lapsed += (before - self.taken.len()) as u64;
-        self.given.retain(|loan| now < loan.until);
+    /// Removes expired loans, sharers, requests and limits.
+    fn expire(&mut self, now: f64) {
+        let before = self.borrowed.len();
+        self.borrowed.retain(|loan| now < loan.expires_at);
+        self.counts.expired += (before - self.borrowed.len()) as u64;
+        self.granted.retain(|loan| now < loan.expires_at);
         for known in self.sharers.values_mut() {
-            known.retain(|_, at| now - *at < FORGET);
+            known.retain(|_, at| now - *at < SHARER_EXPIRY);
         }
         self.sharers.retain(|_, known| !known.is_empty());
-        for mine in self.mine.values_mut() {
-            mine.asked.retain(|_, ask| now - ask.at < 2.0 * MOST_WAIT);
-            mine.askers.retain(|_, (at, ..)| now - *at < LENGTH);
+        for own_limit in self.own_limits.values_mut() {
+            own_limit.requests.retain(|_, request| now - request.sent_at < 2.0 * MAX_RETRY_WAIT);
+            own_limit.requesters.retain(|_, (at, ..)| now - *at < LOAN_SECONDS);
         }
-        self.mine.retain(|_, mine| now - mine.said_at < FORGET);
+        self.own_limits.retain(|_, own_limit| now - own_limit.announced_at < SHARER_EXPIRY);
     }
 
-    /// Looks at every account: says that it is here, asks for what it waits for, gives back what it does not need.
-    pub fn look(&mut self, now: f64, ledger: &mut impl Ledger, out: Out) {
-        self.forget(now);
-        for need in ledger.limit_balances(now).into_iter().take(MOST_ACCOUNTS) {
-            let account = need.limit_id;
-            let fresh = Mine {
-                said_at: f64::NEG_INFINITY,
-                needed_at: now,
-                last: self.me,
-                asked: BTreeMap::new(),
-                askers: BTreeMap::new(),
+    /// Reviews all limits: announces this member as a sharer, requests units for a shortfall, returns borrowed units
+    /// that are not needed.
+    pub fn review(&mut self, now: f64, ledger: &mut impl Ledger, out: Out) {
+        self.expire(now);
+        for balance in ledger.limit_balances(now).into_iter().take(MAX_LIMITS) {
+            let limit_id = balance.limit_id;
+            let fresh = OwnLimit {
+                announced_at: f64::NEG_INFINITY,
+                last_shortfall_at: now,
+                last_asked: self.own_id,
+                requests: BTreeMap::new(),
+                requesters: BTreeMap::new(),
             };
-            let mine = self.mine.entry(account).or_insert(fresh);
-            if now - mine.said_at >= HERE {
-                mine.said_at = now;
-                for knower in self.knowers(account) {
-                    if knower == self.me {
-                        self.here(now, self.me, account, out);
+            let own_limit = self.own_limits.entry(limit_id).or_insert(fresh);
+            if now - own_limit.announced_at >= ANNOUNCE_INTERVAL {
+                own_limit.announced_at = now;
+                for tracker in self.trackers(limit_id) {
+                    if tracker == self.own_id {
+                        self.announcement_received(now, self.own_id, limit_id, out);
                     } else {
-                        out.push((knower, Part::Here(account)));
+                        out.push((tracker, Part::Announcement(limit_id)));
                     }
                 }
             }
-            if need.shortfall >= LEAST {
-                self.ask(now, &need, out);
-            } else if now - self.mine[&account].needed_at >= IDLE {
-                self.give_back(now, &need, ledger, out);
+            if balance.shortfall >= MIN_UNITS {
+                self.send_requests(now, &balance, out);
+            } else if now - self.own_limits[&limit_id].last_shortfall_at >= RETURN_AFTER {
+                self.return_units(now, &balance, ledger, out);
             }
         }
     }
 
-    fn ask(&mut self, now: f64, need: &LimitBalance, out: Out) {
-        let others: Vec<MemberId> = self.sharers.get(&need.limit_id).map_or_else(Vec::new, |known| {
-            known.keys().copied().filter(|one| *one != self.me && !self.dead.contains(one)).collect()
+    fn send_requests(&mut self, now: f64, balance: &LimitBalance, out: Out) {
+        let others: Vec<MemberId> = self.sharers.get(&balance.limit_id).map_or_else(Vec::new, |known| {
+            known
+                .keys()
+                .copied()
+                .filter(|member| *member != self.own_id && !self.dead.contains(member))
+                .collect()
         });
-        let Some(mine) = self.mine.get_mut(&need.limit_id) else { return };
-        mine.needed_at = now;
-        // What is asked of several adds up to the need, in whole units: what comes in pieces too small to be used is
-        // gone for all of its time. The next look asks others, from the one behind the last on, for the rest.
-        let count = (need.shortfall.ceil() as usize).clamp(1, others.len().max(1));
-        let units = (need.shortfall / count as f64).max(LEAST);
-        let from = others.iter().position(|member| *member > mine.last).unwrap_or(0);
-        let (mut left, turn) = (count, others[from..].iter().chain(&others[..from]).copied());
-        for member in turn {
-            if left == 0 {
+        let Some(own_limit) = self.own_limits.get_mut(&balance.limit_id) else { return };
+        own_limit.last_shortfall_at = now;
+        // The requests to several members add up to the shortfall, in whole units, because pieces too small to be used
+        // are lost until they expire. The next review sends requests for the remaining shortfall, beginning with the
+        // member after the last one asked.
+        let count = (balance.shortfall.ceil() as usize).clamp(1, others.len().max(1));
+        let units = (balance.shortfall / count as f64).max(MIN_UNITS);
+        let first = others.iter().position(|member| *member > own_limit.last_asked).unwrap_or(0);
+        let (mut remaining, in_turn) = (count, others[first..].iter().chain(&others[..first]).copied());
+        for member in in_turn {
+            if remaining == 0 {
                 break;
             }
-            let before = mine.asked.get(&member);
-            if before.is_some_and(|ask| now - ask.at < ask.wait) {
+            let previous = own_limit.requests.get(&member);
+            if previous.is_some_and(|request| now - request.sent_at < request.retry_wait) {
                 continue;
             }
-            let wait = before.map_or(AGAIN, |ask| (2.0 * ask.wait).min(MOST_WAIT));
-            (left, mine.last) = (left - 1, member);
+            let retry_wait =
+                previous.map_or(FIRST_RETRY_WAIT, |request| (2.0 * request.retry_wait).min(MAX_RETRY_WAIT));
+            (remaining, own_limit.last_asked) = (remaining - 1, member);
             self.number = self.number.wrapping_add(1);
-            mine.asked.insert(member, Ask { number: self.number, at: now, units, wait });
-            self.counts.asked += 1;
-            out.push((member, Part::Ask { account: need.limit_id, number: self.number, units }));
+            own_limit
+                .requests
+                .insert(member, Request { number: self.number, sent_at: now, units, retry_wait });
+            self.counts.requests += 1;
+            out.push((member, Part::Request { limit_id: balance.limit_id, number: self.number, units }));
         }
     }
 
-    fn give_back(&mut self, now: f64, need: &LimitBalance, ledger: &mut impl Ledger, out: Out) {
-        let mut spare = need.spare;
-        for at in 0..self.taken.len() {
-            let Loan { account, with, number, incarnation, units, until } = self.taken[at].clone();
-            let units = (units.min(spare) * STEPS).floor() / STEPS;
-            // A loan without an end is kept for good.
-            if account != need.limit_id || units < LEAST || now >= until || until.is_infinite() {
+    fn return_units(&mut self, now: f64, balance: &LimitBalance, ledger: &mut impl Ledger, out: Out) {
+        let mut spare = balance.spare;
+        for index in 0..self.borrowed.len() {
+            let Loan { limit_id, partner, number, incarnation, units, expires_at } =
+                self.borrowed[index].clone();
+            let units = (units.min(spare) * STEPS_PER_UNIT).floor() / STEPS_PER_UNIT;
+            // A loan that does not expire (with the expiry safeguard disabled) is not returned.
+            if limit_id != balance.limit_id
+                || units < MIN_UNITS
+                || now >= expires_at
+                || expires_at.is_infinite()
+            {
                 continue;
             }
-            if ledger.transfer(now, account, -units, until) {
+            if ledger.transfer(now, limit_id, -units, expires_at) {
                 spare -= units;
-                self.taken[at].units -= units;
-                self.counts.back += 1;
-                out.push((with, Part::Back { account, number, incarnation, units }));
+                self.borrowed[index].units -= units;
+                self.counts.returned += 1;
+                out.push((partner, Part::Return { limit_id, number, incarnation, units }));
             }
         }
     }
 
-    fn here(&mut self, now: f64, from: MemberId, account: LimitId, out: Out) {
-        let new = self.shares(now, account, from);
-        let Some(known) = self.sharers.get(&account) else { return };
-        let mut others: Vec<(f64, MemberId)> =
-            known.iter().filter(|(member, _)| **member != from).map(|(member, at)| (*at, *member)).collect();
-        others.sort_by(|one, other| other.0.total_cmp(&one.0));
-        others.truncate(MOST_TOLD);
+    /// Handles the announcement of a sharer: tells the other sharers of a new one, and the announcing one of the
+    /// others.
+    fn announcement_received(&mut self, now: f64, sender: MemberId, limit_id: LimitId, out: Out) {
+        let is_new = self.record_sharer(now, limit_id, sender);
+        let Some(known) = self.sharers.get(&limit_id) else { return };
+        let mut others: Vec<(f64, MemberId)> = known
+            .iter()
+            .filter(|(member, _)| **member != sender)
+            .map(|(member, at)| (*at, *member))
+            .collect();
+        others.sort_by(|a, b| b.0.total_cmp(&a.0));
+        others.truncate(MAX_SHARERS_SENT);
         let others: Vec<MemberId> = others.into_iter().map(|(_, member)| member).collect();
-        if new {
-            let told = others.iter().filter(|member| **member != self.me);
-            out.extend(told.map(|member| (*member, Part::Sharers(account, vec![from]))));
+        if is_new {
+            let receivers = others.iter().filter(|member| **member != self.own_id);
+            out.extend(receivers.map(|member| (*member, Part::Sharers(limit_id, vec![sender]))));
         }
-        if from != self.me && !others.is_empty() {
-            out.push((from, Part::Sharers(account, others)));
+        if sender != self.own_id && !others.is_empty() {
+            out.push((sender, Part::Sharers(limit_id, others)));
         }
     }
 
-    /// What another says: in which incarnation of its, and to this one in which of its own.
+    /// Handles a part of a message: with the incarnation of its sender and that of this process.
     pub fn part_received(
-        &mut self, now: f64, from: MemberId, (their_life, incarnation): (u32, u32), part: &Part,
-        ledger: &mut impl Ledger, out: Out,
+        &mut self, now: f64, sender: MemberId, (sender_incarnation, own_incarnation): (u32, u32),
+        part: &Part, ledger: &mut impl Ledger, out: Out,
     ) {
         match part {
-            Part::Here(account) => self.here(now, from, *account, out),
-            Part::Sharers(account, members) => {
-                if self.mine.contains_key(account) {
+            Part::Announcement(limit_id) => self.announcement_received(now, sender, *limit_id, out),
+            Part::Sharers(limit_id, members) => {
+                if self.own_limits.contains_key(limit_id) {
                     for member in members {
-                        if self.members.contains(member) && *member != self.me {
-                            self.shares(now, *account, *member);
+                        if self.members.contains(member) && *member != self.own_id {
+                            self.record_sharer(now, *limit_id, *member);
                         }
                     }
                 }
             }
-            Part::Ask { account, number, units } => {
-                self.asked(now, from, their_life, *account, *number, *units, ledger, out);
+            Part::Request { limit_id, number, units } => {
+                self.request_received(
+                    now,
+                    sender,
+                    sender_incarnation,
+                    *limit_id,
+                    *number,
+                    *units,
+                    ledger,
+                    out,
+                );
             }
-            Part::Grant { account, number, incarnation: to, units } => {
-                let theirs = (from, their_life);
-                self.granted(now, theirs, *account, *number, *to == incarnation, *units, ledger);
+            Part::Grant { limit_id, number, incarnation: receiver, units } => {
+                let lender = (sender, sender_incarnation);
+                self.grant_received(
+                    now,
+                    lender,
+                    *limit_id,
+                    *number,
+                    *receiver == own_incarnation,
+                    *units,
+                    ledger,
+                );
             }
-            Part::Back { account, number, incarnation: to, units } => {
-                self.came_back(now, from, *account, *number, *to == incarnation, *units, ledger);
+            Part::Return { limit_id, number, incarnation: receiver, units } => {
+                self.return_received(
+                    now,
+                    sender,
+                    *limit_id,
+                    *number,
+                    *receiver == own_incarnation,
+                    *units,
+                    ledger,
+                );
             }
             Part::NodeReports(_) => {}
         }
     }
 
-    #[allow(clippy::too_many_arguments)] // fields of a message come as plain arguments
-    fn asked(
-        &mut self, now: f64, from: MemberId, incarnation: u32, account: LimitId, number: u32, units: f64,
+    #[allow(clippy::too_many_arguments)] // the fields of a message are passed as plain arguments
+    fn request_received(
+        &mut self, now: f64, sender: MemberId, incarnation: u32, limit_id: LimitId, number: u32, units: f64,
         ledger: &mut impl Ledger, out: Out,
     ) {
-        let Some(need) = ledger.limit_balance(now, account) else { return };
-        let without_fair = self.lacks(Safeguard::Fair);
-        let Some(mine) = self.mine.get_mut(&account) else { return };
-        let before = mine.askers.get(&from);
-        if before
+        let Some(balance) = ledger.limit_balance(now, limit_id) else { return };
+        let without_fair_share = self.lacks(Safeguard::FairShare);
+        let Some(own_limit) = self.own_limits.get_mut(&limit_id) else { return };
+        let previous = own_limit.requesters.get(&sender);
+        if previous
             .is_some_and(|(_, known, last)| *known == incarnation && number.wrapping_sub(*last) as i32 <= 0)
         {
             return;
         }
-        mine.askers.insert(from, (now, incarnation, number));
-        mine.askers.retain(|_, (at, ..)| now - *at < LENGTH);
-        let askers = mine.askers.len() as f64;
-        self.shares(now, account, from);
-        let out_to = |to: Option<MemberId>| -> f64 {
-            let loans = self.given.iter().filter(|loan| loan.account == account && now < loan.until);
-            loans.filter(|loan| to.is_none_or(|to| to == loan.with)).map(|loan| loan.units).sum()
+        own_limit.requesters.insert(sender, (now, incarnation, number));
+        own_limit.requesters.retain(|_, (at, ..)| now - *at < LOAN_SECONDS);
+        let requesters = own_limit.requesters.len() as f64;
+        self.record_sharer(now, limit_id, sender);
+        let lent_to = |borrower: Option<MemberId>| -> f64 {
+            let loans = self.granted.iter().filter(|loan| loan.limit_id == limit_id && now < loan.expires_at);
+            loans
+                .filter(|loan| borrower.is_none_or(|borrower| borrower == loan.partner))
+                .map(|loan| loan.units)
+                .sum()
         };
-        // One that always asks gets its even part of what could be lent, and no more by asking more often.
-        let even = (need.spare + out_to(None)) / askers.max(1.0) - out_to(Some(from));
-        let most = if without_fair { need.spare } else { need.spare.min(even) };
-        // In steps that the wire carries exactly.
-        let units = (units.min(most) * STEPS).floor() / STEPS;
-        let borrowed = self.taken.iter().any(|loan| loan.account == account && now < loan.until);
-        let not_own = borrowed && !self.lacks(Safeguard::OwnOnly);
-        if units < LEAST || self.given.len() >= MOST_LOANS || not_own {
+        // A member that always sends requests gets its even part of the units that can be lent, and no more by sending
+        // more requests.
+        let fair_share = (balance.spare + lent_to(None)) / requesters.max(1.0) - lent_to(Some(sender));
+        let available = if without_fair_share { balance.spare } else { balance.spare.min(fair_share) };
+        // Rounded down to steps that the message format carries exactly.
+        let units = (units.min(available) * STEPS_PER_UNIT).floor() / STEPS_PER_UNIT;
+        let borrows = self.borrowed.iter().any(|loan| loan.limit_id == limit_id && now < loan.expires_at);
+        let not_own = borrows && !self.lacks(Safeguard::OwnUnitsOnly);
+        if units < MIN_UNITS || self.granted.len() >= MAX_LOANS || not_own {
             return;
         }
-        let wait = if self.lacks(Safeguard::Drift) { LENGTH } else { lender_hold() };
-        let until = now + wait;
-        if self.lacks(Safeguard::Sum) || ledger.transfer(now, account, -units, until) {
-            self.given.push(Loan { account, with: from, number, incarnation, units, until });
-            self.counts.given += 1;
-            self.counts.given_units += units;
-            out.push((from, Part::Grant { account, number, incarnation, units }));
+        let hold = if self.lacks(Safeguard::ClockDrift) { LOAN_SECONDS } else { lender_hold() };
+        let expires_at = now + hold;
+        if self.lacks(Safeguard::Deduction) || ledger.transfer(now, limit_id, -units, expires_at) {
+            self.granted.push(Loan { limit_id, partner: sender, number, incarnation, units, expires_at });
+            self.counts.granted += 1;
+            self.counts.granted_units += units;
+            out.push((sender, Part::Grant { limit_id, number, incarnation, units }));
         }
     }
 
+    /// Handles a grant. `is_current` tells whether it is for the current incarnation of this process.
     #[allow(clippy::too_many_arguments)]
-    fn granted(
-        &mut self, now: f64, (from, their_life): (MemberId, u32), account: LimitId, number: u32, ours: bool,
-        units: f64, ledger: &mut impl Ledger,
+    fn grant_received(
+        &mut self, now: f64, (lender, lender_incarnation): (MemberId, u32), limit_id: LimitId, number: u32,
+        is_current: bool, units: f64, ledger: &mut impl Ledger,
     ) {
-        let (any_life, any_time) = (self.lacks(Safeguard::Life), self.lacks(Safeguard::FromAsking));
-        let (again, endless) = (self.lacks(Safeguard::Once), self.lacks(Safeguard::End));
-        let asked = self.mine.get_mut(&account).map(|mine| &mut mine.asked);
-        let ask = asked.and_then(|asked| {
-            let ask = asked.get(&from).filter(|ask| ask.number == number).cloned();
-            if ask.is_some() && !again {
-                asked.remove(&from);
+        let (any_incarnation, from_arrival) =
+            (self.lacks(Safeguard::Incarnation), self.lacks(Safeguard::ExpiryFromRequest));
+        let (repeatedly, endless) = (self.lacks(Safeguard::GrantOnce), self.lacks(Safeguard::Expiry));
+        let requests = self.own_limits.get_mut(&limit_id).map(|own_limit| &mut own_limit.requests);
+        let request = requests.and_then(|requests| {
+            let request = requests.get(&lender).filter(|request| request.number == number).cloned();
+            if request.is_some() && !repeatedly {
+                requests.remove(&lender);
             }
-            ask
+            request
         });
-        let until = ask.as_ref().map_or(0.0, |ask| if any_time { now } else { ask.at } + LENGTH);
-        let fits = ask.is_some_and(|ask| units <= ask.units + 1e-3);
-        let until = if endless { f64::INFINITY } else { until };
-        if !fits || !(ours || any_life) || now >= until || self.taken.len() >= MOST_LOANS {
+        let expires_at = request
+            .as_ref()
+            .map_or(0.0, |request| if from_arrival { now } else { request.sent_at } + LOAN_SECONDS);
+        let was_requested = request.is_some_and(|request| units <= request.units + 1e-3);
+        let expires_at = if endless { f64::INFINITY } else { expires_at };
+        if !was_requested
+            || !(is_current || any_incarnation)
+            || now >= expires_at
+            || self.borrowed.len() >= MAX_LOANS
+        {
             self.counts.void += 1;
             return;
         }
-        if ledger.transfer(now, account, units, until) {
-            self.taken.push(Loan { account, with: from, number, incarnation: their_life, units, until });
-            self.counts.taken += 1;
-            self.counts.taken_units += units;
+        if ledger.transfer(now, limit_id, units, expires_at) {
+            self.borrowed.push(Loan {
+                limit_id,
+                partner: lender,
+                number,
+                incarnation: lender_incarnation,
+                units,
+                expires_at,
+            });
+            self.counts.borrowed += 1;
+            self.counts.borrowed_units += units;
         }
     }
 
+    /// Handles returned units. `is_current` tells whether they are for the current incarnation of this process.
     #[allow(clippy::too_many_arguments)]
-    fn came_back(
-        &mut self, now: f64, from: MemberId, account: LimitId, number: u32, ours: bool, units: f64,
+    fn return_received(
+        &mut self, now: f64, sender: MemberId, limit_id: LimitId, number: u32, is_current: bool, units: f64,
         ledger: &mut impl Ledger,
     ) {
-        let once = !self.lacks(Safeguard::Back);
-        let loan = self.given.iter_mut().find(|loan| {
-            (loan.account, loan.with, loan.number) == (account, from, number) && now < loan.until
+        let once = !self.lacks(Safeguard::ReturnOnce);
+        let loan = self.granted.iter_mut().find(|loan| {
+            (loan.limit_id, loan.partner, loan.number) == (limit_id, sender, number) && now < loan.expires_at
         });
-        let Some(loan) = loan.filter(|_| ours) else { return };
+        let Some(loan) = loan.filter(|_| is_current) else { return };
         let units = units.min(loan.units);
-        if units > 0.0 && ledger.transfer(now, account, units, loan.until) && once {
+        if units > 0.0 && ledger.transfer(now, limit_id, units, loan.expires_at) && once {
             loan.units -= units;
         }
     }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,9 +1,9 @@
-//! Membership table: the status that this process records for each member, and the queue of changes that are still to be
-//! sent to others.
+//! Membership table: the status that this process records for each member, and the queue of changes that are still to
+//! be sent to others.
 //!
-//! Of two updates of a member, the one with the higher (incarnation, refutation, status) applies, whatever the order in
-//! which they arrive, so late, repeated and reordered updates change nothing. Dead members stay in the table, so that an
-//! old update cannot bring one back. The table is as large as the list of members.
+//! Of two updates of a member, the one with the higher (incarnation, refutation, status) applies, whatever the order
+//! in which they arrive, so late, repeated and reordered updates change nothing. Dead members stay in the table, so
+//! that an old update cannot bring one back. The table is as large as the list of members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,4 +1,5 @@
-//! Format of the datagrams between members: at most 1,200 bytes, one version. Decoding never panics, whatever the bytes.
+//! Format of the datagrams between members: at most 1,200 bytes, one version. Decoding never panics, whatever the
+//! bytes.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -12,8 +13,8 @@
 //! | 2, that many | length of a signal, the signal: at most 256 bytes ([`crate::signal`]) |
 //! | 8 | checksum: xxh3 of all bytes before it, seeded with the fleet hash |
 //!
-//! All numbers are little endian. The checksum detects damage and datagrams of another fleet; it is no protection against
-//! forgery.
+//! All numbers are little endian. The checksum detects damage and datagrams of another fleet; it is no protection
+//! against forgery.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -1,19 +1,20 @@
-//! What initiators tell each other beside who is there: what their answers told of nodes, and loans of units
-//! ([`crate::lending`]). One format on the simulator's wire and in the fleet's datagrams: 256 bytes at most, one version,
-//! decoded without panic for any bytes.
+//! Signals: messages that initiators exchange beside the membership protocol, with reports of the latency of nodes and
+//! loans of units ([`crate::lending`]). The simulator's wire and the fleet's datagrams use the same format: at most 256
+//! bytes, one version. Decoding never panics, whatever the bytes.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1, 4, 4 | version, incarnation of the sender, number of the message in that incarnation |
-//! | 1 | kind of a part, any number of parts |
-//! | 1, 5 each | news: part of the data, latency_ratio in hundredths of the due time, answers, age in 20 ms |
-//! | 8 | here: account |
-//! | 8, 1, 2 each | sharers: account, members |
-//! | 8, 4, 4 | ask: account, number, units |
-//! | 8, 4, 4, 4 | grant, back: account, number of the ask, incarnation of whom it goes to, units |
+//! | 1 | kind of a part; a message has any number of parts |
+//! | 1, 5 each | node reports: part of the data, latency in hundredths of the due time, answers, age in units of 20 ms |
+//! | 8 | announcement: limit |
+//! | 8, 1, 2 each | sharers: limit, members |
+//! | 8, 4, 4 | request: limit, number, units |
+//! | 8, 4, 4, 4 | grant, return: limit, number of the request, incarnation of the receiver, units |
 //!
-//! All numbers little endian. NodeReport are only of one's own answers, so that none is counted twice, and each message has a
-//! few receivers drawn anew; what is said to whom is kept within [`BYTES`] for each answer seen, the most telling first.
+//! All numbers are little endian. An initiator reports only answers that it received itself, so that none is counted
+//! twice. Each message goes to a few receivers, drawn anew each time. The bytes sent for reports are limited to
+//! [`BYTES_PER_ANSWER`] for each answer received; the reports with the most information are sent first.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,76 +22,85 @@
 use quaypath::types::{BlockId, LimitBalance, LimitId};
 
 use crate::fields::{Fields, UnexpectedEnd};
-use crate::lending::{Ledger, Lend, LendCounts, Safeguard, LOOK, MOST_TOLD};
+use crate::lending::{Ledger, Lending, LendingCounts, Safeguard, MAX_SHARERS_SENT, REVIEW_INTERVAL};
 use crate::membership::ReplayWindow;
 use crate::MemberId;
 
-/// Longest message, bytes: the simulator's wire allows no more.
+/// Maximum length of a message in bytes; the simulator's wire allows no more.
 pub const MAX_SIGNAL_BYTES: usize = 256;
+/// Version of the signal format.
 pub const VERSION: u8 = 1;
-const HEAD: usize = 9;
-const ENTRY: usize = 5;
-/// Bytes to all receivers that each answer seen earns for news of it.
-const BYTES: f64 = 24.0;
-/// How often news are told.
-const TELL: f64 = 0.5;
-/// NodeReport older than this say nothing of a node.
-const STALE: f64 = 2.0;
-/// Most answers that one entry counts for, whatever it says.
-const MOST_ANSWERS: f64 = 8.0;
-/// Messages that a member sends in a second, at most; what is over is dropped.
-const MOST_SENT: f64 = 60.0;
-/// Most bytes that signals add to what a member sends, bytes a second, with room for a datagram's own bytes.
-pub const MAX_BYTES_PER_SECOND: f64 = MOST_SENT * (MAX_SIGNAL_BYTES as f64 + 64.0);
-/// A member that starts again behind its own earlier incarnation is heard after so long without that one.
-const SILENT: f64 = 5.0;
-
-/// What was seen of the node that holds a part of the data.
+const HEADER_BYTES: usize = 9;
+const REPORT_BYTES: usize = 5;
+/// Bytes that may be sent, to all receivers together, for each answer received.
+const BYTES_PER_ANSWER: f64 = 24.0;
+/// Mean seconds between two messages with reports.
+const REPORT_INTERVAL: f64 = 0.5;
+/// Age in seconds from which on a report says nothing of a node any more.
+const MAX_REPORT_AGE: f64 = 2.0;
+/// Maximum number of answers that one report counts for, whatever its sender states.
+const MAX_ANSWERS: f64 = 8.0;
+/// Maximum number of messages that a member sends per second; further ones are dropped.
+const MAX_MESSAGES_PER_SECOND: f64 = 60.0;
+/// Maximum bytes per second that signals add to what a member sends, including the other bytes of their datagrams.
+pub const MAX_BYTES_PER_SECOND: f64 = MAX_MESSAGES_PER_SECOND * (MAX_SIGNAL_BYTES as f64 + 64.0);
+/// Seconds without a message of a member's known incarnation after which messages of a lower incarnation are accepted,
+/// for a member that restarted with a lower one.
+const INCARNATION_SILENCE: f64 = 5.0;
+
+/// Latency that an initiator observed at the node that holds a part of the data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeReport {
     pub block: BlockId,
-    /// Mean latency_ratio at the node, in due times.
+    /// Mean latency at the node, divided by the due time.
     pub latency_ratio: f64,
-    /// Answers that it is of.
+    /// Number of answers that the mean is taken over.
     pub answers: f64,
-    /// Seconds since they came, in the mean.
+    /// Mean age of the answers, seconds.
     pub age: f64,
 }
 
+/// One part of a signal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
     NodeReports(Vec<NodeReport>),
-    /// I share this account.
-    Here(LimitId),
-    /// So do these.
+    /// The sender shares this limit.
+    Announcement(LimitId),
+    /// These members share this limit.
     Sharers(LimitId, Vec<MemberId>),
-    Ask {
-        account: LimitId,
+    /// Asks the receiver to lend units.
+    Request {
+        limit_id: LimitId,
         number: u32,
         units: f64,
     },
+    /// Lends units, in answer to the request with this number and to this incarnation of the receiver.
     Grant {
-        account: LimitId,
+        limit_id: LimitId,
         number: u32,
         incarnation: u32,
         units: f64,
     },
-    Back {
-        account: LimitId,
+    /// Returns units of the loan with this request number to this incarnation of the lender.
+    Return {
+        limit_id: LimitId,
         number: u32,
         incarnation: u32,
         units: f64,
     },
 }
 
+/// One message between initiators, decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Signal {
+    /// Incarnation of the sender.
     pub incarnation: u32,
+    /// Number of the message in that incarnation.
     pub number: u32,
     pub parts: Vec<Part>,
 }
 
-/// Why bytes are no signal.
+/// Why bytes are not a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     Malformed,
@@ -104,11 +114,11 @@
 }
 
 impl Fields<'_> {
-    fn account(&mut self) -> Result<LimitId, DecodeError> {
+    fn limit_id(&mut self) -> Result<LimitId, DecodeError> {
         Ok(LimitId(self.u64()?))
     }
 
-    /// Units, finite and not below zero.
+    /// Units; refuses values that are not finite or below zero.
     fn units(&mut self) -> Result<f64, DecodeError> {
         let units = f64::from(f32::from_le_bytes(self.take()?));
         if units.is_finite() && units >= 0.0 {
@@ -121,31 +131,31 @@
     fn part(&mut self) -> Result<Part, DecodeError> {
         Ok(match self.u8()? {
             0 => {
-                let mut news = Vec::new();
+                let mut reports = Vec::new();
                 for _ in 0..self.u8()? {
                     let block = BlockId(i64::from(self.u16()?));
                     let (latency_ratio, answers, age) = (self.u8()?, self.u8()?, self.u8()?);
                     let (latency_ratio, answers) = (f64::from(latency_ratio) / 100.0, f64::from(answers));
-                    news.push(NodeReport { block, latency_ratio, answers, age: f64::from(age) / 50.0 });
+                    reports.push(NodeReport { block, latency_ratio, answers, age: f64::from(age) / 50.0 });
                 }
-                Part::NodeReports(news)
+                Part::NodeReports(reports)
             }
-            1 => Part::Here(self.account()?),
+            1 => Part::Announcement(self.limit_id()?),
             2 => {
-                let account = self.account()?;
+                let limit_id = self.limit_id()?;
                 let count = self.u8()?;
                 Part::Sharers(
-                    account,
+                    limit_id,
                     (0..count).map(|_| self.u16().map(MemberId)).collect::<Result<_, _>>()?,
                 )
             }
-            3 => Part::Ask { account: self.account()?, number: self.u32()?, units: self.units()? },
+            3 => Part::Request { limit_id: self.limit_id()?, number: self.u32()?, units: self.units()? },
             kind @ (4 | 5) => {
-                let (account, number, incarnation) = (self.account()?, self.u32()?, self.u32()?);
+                let (limit_id, number, incarnation) = (self.limit_id()?, self.u32()?, self.u32()?);
                 let units = self.units()?;
                 match kind {
-                    4 => Part::Grant { account, number, incarnation, units },
-                    _ => Part::Back { account, number, incarnation, units },
+                    4 => Part::Grant { limit_id, number, incarnation, units },
+                    _ => Part::Return { limit_id, number, incarnation, units },
                 }
             }
             _ => return Err(DecodeError::Malformed),
@@ -153,51 +163,57 @@
     }
 }
 
+/// The nearest number that fits a byte.
 fn byte(value: f64) -> u8 {
     value.round().clamp(0.0, 255.0) as u8
 }
 
 impl Part {
-    /// Bytes that it takes.
+    /// Length of the encoded part in bytes.
     pub fn length(&self) -> usize {
         1 + match self {
-            Part::NodeReports(news) => 1 + ENTRY * news.len(),
-            Part::Here(_) => 8,
+            Part::NodeReports(reports) => 1 + REPORT_BYTES * reports.len(),
+            Part::Announcement(_) => 8,
             Part::Sharers(_, members) => 9 + 2 * members.len(),
-            Part::Ask { .. } => 16,
-            Part::Grant { .. } | Part::Back { .. } => 20,
+            Part::Request { .. } => 16,
+            Part::Grant { .. } | Part::Return { .. } => 20,
         }
     }
 
-    pub(crate) fn put(&self, out: &mut Vec<u8>) {
+    /// Appends the encoded part.
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         match self {
-            Part::NodeReports(news) => {
-                out.extend([0, news.len() as u8]);
-                for news in news {
-                    out.extend((news.block.0.clamp(0, i64::from(u16::MAX)) as u16).to_le_bytes());
-                    out.extend([byte(news.latency_ratio * 100.0), byte(news.answers), byte(news.age * 50.0)]);
+            Part::NodeReports(reports) => {
+                out.extend([0, reports.len() as u8]);
+                for report in reports {
+                    out.extend((report.block.0.clamp(0, i64::from(u16::MAX)) as u16).to_le_bytes());
+                    out.extend([
+                        byte(report.latency_ratio * 100.0),
+                        byte(report.answers),
+                        byte(report.age * 50.0),
+                    ]);
                 }
             }
-            Part::Here(account) => {
+            Part::Announcement(limit_id) => {
                 out.push(1);
-                out.extend(account.0.to_le_bytes());
+                out.extend(limit_id.0.to_le_bytes());
             }
-            Part::Sharers(account, members) => {
+            Part::Sharers(limit_id, members) => {
                 out.push(2);
-                out.extend(account.0.to_le_bytes());
+                out.extend(limit_id.0.to_le_bytes());
                 out.push(members.len() as u8);
                 members.iter().for_each(|member| out.extend(member.0.to_le_bytes()));
             }
-            Part::Ask { account, number, units } => {
+            Part::Request { limit_id, number, units } => {
                 out.push(3);
-                out.extend(account.0.to_le_bytes());
+                out.extend(limit_id.0.to_le_bytes());
                 out.extend(number.to_le_bytes());
                 out.extend((*units as f32).to_le_bytes());
             }
-            Part::Grant { account, number, incarnation, units }
-            | Part::Back { account, number, incarnation, units } => {
+            Part::Grant { limit_id, number, incarnation, units }
+            | Part::Return { limit_id, number, incarnation, units } => {
                 out.push(if matches!(self, Part::Grant { .. }) { 4 } else { 5 });
-                out.extend(account.0.to_le_bytes());
+                out.extend(limit_id.0.to_le_bytes());
                 out.extend(number.to_le_bytes());
                 out.extend(incarnation.to_le_bytes());
                 out.extend((*units as f32).to_le_bytes());
@@ -212,7 +228,7 @@
         out.push(VERSION);
         out.extend(self.incarnation.to_le_bytes());
         out.extend(self.number.to_le_bytes());
-        self.parts.iter().for_each(|part| part.put(&mut out));
+        self.parts.iter().for_each(|part| part.encode(&mut out));
         out
     }
 
@@ -220,304 +236,343 @@
         if bytes.len() > MAX_SIGNAL_BYTES {
             return Err(DecodeError::Malformed);
         }
-        let mut at = Fields(bytes);
-        if at.u8()? != VERSION {
+        let mut fields = Fields(bytes);
+        if fields.u8()? != VERSION {
             return Err(DecodeError::WrongVersion);
         }
-        let (incarnation, number) = (at.u32()?, at.u32()?);
+        let (incarnation, number) = (fields.u32()?, fields.u32()?);
         let mut parts = Vec::new();
-        while !at.0.is_empty() {
-            parts.push(at.part()?);
+        while !fields.0.is_empty() {
+            parts.push(fields.part()?);
         }
         Ok(Signal { incarnation, number, parts })
     }
 }
 
-/// What signals need of the process that they run in.
+/// What signals use of the process that they run in.
 pub trait SignalHost: Ledger {
-    /// One message to a member, [`MAX_SIGNAL_BYTES`] bytes at most.
+    /// Sends one message of at most [`MAX_SIGNAL_BYTES`] bytes to a member.
     fn send_signal(&mut self, to: MemberId, bytes: &[u8]);
-    /// What another measured.
+    /// Hands over a report that another initiator sent.
     fn node_report_received(&mut self, now: f64, report: &NodeReport);
 }
 
-/// A ledger as a process that always claims sees it.
-struct Shouting<'a, H>(&'a mut H);
+/// The ledger of a faulty process that always claims units and lends none.
+struct AlwaysClaiming<'a, H>(&'a mut H);
 
-impl<H: SignalHost> Ledger for Shouting<'_, H> {
+impl<H: SignalHost> Ledger for AlwaysClaiming<'_, H> {
     fn limit_balances(&mut self, now: f64) -> Vec<LimitBalance> {
-        let all = self.0.limit_balances(now).into_iter();
-        all.map(|need| LimitBalance { spare: 0.0, shortfall: 1e6, ..need }).collect()
+        let balances = self.0.limit_balances(now).into_iter();
+        balances.map(|balance| LimitBalance { spare: 0.0, shortfall: 1e6, ..balance }).collect()
     }
-    fn limit_balance(&mut self, _now: f64, _account: LimitId) -> Option<LimitBalance> {
+    fn limit_balance(&mut self, _now: f64, _limit_id: LimitId) -> Option<LimitBalance> {
         None
     }
-    fn transfer(&mut self, now: f64, account: LimitId, units: f64, until: f64) -> bool {
-        self.0.transfer(now, account, units, until)
+    fn transfer(&mut self, now: f64, limit_id: LimitId, units: f64, expires_at: f64) -> bool {
+        self.0.transfer(now, limit_id, units, expires_at)
     }
 }
 
-/// What is known of another member.
+/// What is known of the signals of another member.
 #[derive(Clone, Debug, PartialEq)]
 struct Peer {
     incarnation: u32,
-    heard_at: f64,
-    came: ReplayWindow,
+    last_received_at: f64,
+    received: ReplayWindow,
 }
 
+/// Answers of one node since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Seen {
-    sum: f64,
+struct Observed {
+    /// Sum of the latency ratios.
+    ratio_sum: f64,
     answers: f64,
-    /// Sum of the times at which they came.
-    at: f64,
+    /// Sum of the clock times at which the answers arrived.
+    time_sum: f64,
 }
 
+/// Counters of signals since the start.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct SignalCounts {
+    /// Messages sent.
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard: u64,
-    /// Dropped: not whole; another version; of an earlier incarnation; came before; not of the list; over the bound.
-    pub bad: u64,
-    pub version: u64,
-    pub old: u64,
-    pub repeated: u64,
-    pub unknown: u64,
-    pub over: u64,
-    /// Entries told and heard.
-    pub told: u64,
-    pub news: u64,
+    /// Messages received and accepted.
+    #[serde(rename = "heard")]
+    pub received: u64,
+    /// Messages dropped because they could not be decoded.
+    #[serde(rename = "bad")]
+    pub malformed: u64,
+    /// Messages dropped because they have another version.
+    #[serde(rename = "version")]
+    pub wrong_version: u64,
+    /// Messages dropped because they come from an earlier incarnation of their sender.
+    #[serde(rename = "old")]
+    pub old_incarnation: u64,
+    /// Messages whose reports were ignored because the message was received before.
+    #[serde(rename = "repeated")]
+    pub duplicates: u64,
+    /// Messages dropped because their sender is not on the list of members.
+    #[serde(rename = "unknown")]
+    pub unknown_sender: u64,
+    /// Messages not sent because of [`MAX_MESSAGES_PER_SECOND`].
+    #[serde(rename = "over")]
+    pub rate_limited: u64,
+    /// Node reports sent, counted once for each receiver.
+    #[serde(rename = "told")]
+    pub reports_sent: u64,
+    /// Node reports received and used.
+    #[serde(rename = "news")]
+    pub reports_received: u64,
     #[serde(flatten)]
-    pub lend: LendCounts,
+    pub lending: LendingCounts,
 }
 
-/// How a process speaks: well, or one of the ways in which a faulty one might.
+/// How a process sends signals: correctly, or with one kind of fault, for tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SignalBehavior {
     #[default]
     Correct,
-    /// Always claims, whatever it has, and lends nothing.
+    /// Always requests units, whatever it has, and lends none.
     ClaimsAlways,
-    /// Tells what it saw ten seconds ago as new.
+    /// Sends reports that are ten seconds old as new ones.
     StaleReports,
 }
 
-/// What a member of those that signal is started with.
+/// What the signals of one initiator are started with.
 #[derive(Clone, Debug)]
 pub struct SignalConfig {
+    /// Number of this member.
     pub own_id: MemberId,
+    /// All members, including this one; messages of other senders are dropped.
     pub members: Vec<MemberId>,
-    /// Grows with each start of this name's process: seconds of the wall clock, in tenths, say.
+    /// Grows with each start of a process under this member number, for example tenths of seconds of the wall clock.
     pub incarnation: u32,
+    /// Seed of the random choices of receivers and times.
     pub seed: u64,
-    /// Whether answers are told, and units lent.
+    /// Whether node reports are sent.
     pub sends_reports: bool,
+    /// Whether units are lent and borrowed.
     pub lends: bool,
-    /// What a full message costs, in parts of the result; 0: nothing. NodeReport are told only where it is nothing: they
-    /// showed no gain where they cost (docs/results-fleet.md).
+    /// Cost of a message of maximum length, as a fraction of the result; 0 if messages are free. Reports are sent
+    /// only if messages are free, because they showed no gain where messages cost (`docs/results-fleet.md`).
     pub message_cost: f64,
-    /// A safeguard taken away, for tests of the tests only.
+    /// Safeguard that is disabled, to show that a test notices its absence.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
-/// One initiator's signals.
+/// The signals of one initiator.
 #[derive(Clone)]
 pub struct Signals {
     config: SignalConfig,
+    /// Number of the last message.
     number: u32,
-    chance: WyRand,
-    lend: Lend,
-    seen: BTreeMap<BlockId, Seen>,
-    /// Stays of all answers, with weights that fade.
+    rng: WyRand,
+    lending: Lending,
+    observed: BTreeMap<BlockId, Observed>,
+    /// Decaying sums of the latency ratios of all answers and of their weights.
     mean: (f64, f64),
-    /// What a faulty process tells late.
-    kept: VecDeque<(f64, Vec<(f64, NodeReport)>)>,
+    /// Reports that a faulty process holds back, with the clock time at which they were made.
+    delayed_reports: VecDeque<(f64, Vec<(f64, NodeReport)>)>,
+    /// Bytes that may still be sent for reports.
     budget: f64,
     peers: BTreeMap<MemberId, Peer>,
-    /// Messages that may still be sent, and when that was.
-    room: (f64, f64),
-    tell_at: f64,
-    look_at: f64,
-    /// When the host's timer rings next.
-    rings_at: f64,
-    manner: SignalBehavior,
+    /// Messages that may still be sent, and the time at which that was computed.
+    message_allowance: (f64, f64),
+    next_report_at: f64,
+    next_review_at: f64,
+    /// Time for which the host's timer is set.
+    timer_at: f64,
+    behavior: SignalBehavior,
     counts: SignalCounts,
 }
 
 impl Signals {
     pub fn start(now: f64, mut config: SignalConfig) -> Signals {
         config.sends_reports &= config.message_cost == 0.0;
-        let mut chance = WyRand::new_seed(config.seed ^ 0x51a);
-        // Not all members at one instant.
-        let spread = chance.generate::<f64>();
+        let mut rng = WyRand::new_seed(config.seed ^ 0x51a);
+        // Spreads the work of the members over the interval.
+        let spread = rng.generate::<f64>();
         Signals {
             number: 0,
-            lend: Lend::new(config.own_id, config.members.clone(), config.disabled_safeguard),
-            seen: BTreeMap::new(),
+            lending: Lending::new(config.own_id, config.members.clone(), config.disabled_safeguard),
+            observed: BTreeMap::new(),
             mean: (0.0, 0.0),
-            kept: VecDeque::new(),
+            delayed_reports: VecDeque::new(),
             budget: 0.0,
             peers: BTreeMap::new(),
-            room: (MOST_SENT, now),
-            tell_at: now + TELL * spread,
-            look_at: now + LOOK * spread,
-            rings_at: f64::NEG_INFINITY,
-            manner: SignalBehavior::Correct,
+            message_allowance: (MAX_MESSAGES_PER_SECOND, now),
+            next_report_at: now + REPORT_INTERVAL * spread,
+            next_review_at: now + REVIEW_INTERVAL * spread,
+            timer_at: f64::NEG_INFINITY,
+            behavior: SignalBehavior::Correct,
             counts: SignalCounts::default(),
-            chance,
+            rng,
             config,
         }
     }
 
-    /// When [`Signals::tick`] has something to do.
+    /// Clock time at which [`Signals::tick`] next has something to do.
     pub fn next_tick_at(&self) -> f64 {
-        let tell = if self.config.sends_reports { self.tell_at } else { f64::INFINITY };
-        tell.min(if self.config.lends { self.look_at } else { f64::INFINITY })
+        let report_at = if self.config.sends_reports { self.next_report_at } else { f64::INFINITY };
+        report_at.min(if self.config.lends { self.next_review_at } else { f64::INFINITY })
     }
 
     pub fn counts(&self) -> SignalCounts {
-        SignalCounts { lend: self.lend.counts.clone(), ..self.counts.clone() }
+        SignalCounts { lending: self.lending.counts.clone(), ..self.counts.clone() }
     }
 
-    /// What is held of a member changed.
+    /// Records whether a member is dead.
     pub fn set_member_dead(&mut self, member: MemberId, dead: bool) {
-        self.lend.set_member_dead(member, dead);
+        self.lending.set_member_dead(member, dead);
     }
 
-    /// How this process speaks from now on; for tests of what others make of it.
-    pub fn set_behavior(&mut self, manner: SignalBehavior) {
-        self.manner = manner;
+    /// Sets how this process sends signals from now on, to test how others handle a faulty one.
+    pub fn set_behavior(&mut self, behavior: SignalBehavior) {
+        self.behavior = behavior;
     }
 
-    /// An answer of this initiator's own: the latency_ratio at the node that holds the block, in due times.
+    /// Records an answer that this initiator received. `latency_ratio` is the latency at the node that holds the block,
+    /// divided by the due time.
     pub fn observe_latency(&mut self, now: f64, block: BlockId, latency_ratio: f64) {
         if !self.config.sends_reports || !(0..=i64::from(u16::MAX)).contains(&block.0) {
             return;
         }
-        let seen = self.seen.entry(block).or_default();
-        *seen = Seen { sum: seen.sum + latency_ratio, answers: seen.answers + 1.0, at: seen.at + now };
+        let observed = self.observed.entry(block).or_default();
+        *observed = Observed {
+            ratio_sum: observed.ratio_sum + latency_ratio,
+            answers: observed.answers + 1.0,
+            time_sum: observed.time_sum + now,
+        };
         self.mean = (self.mean.0 * 0.98 + latency_ratio, self.mean.1 * 0.98 + 1.0);
-        self.budget = (self.budget + BYTES).min(BYTES * 200.0);
+        self.budget = (self.budget + BYTES_PER_ANSWER).min(BYTES_PER_ANSWER * 200.0);
     }
 
-    /// Takes what was seen in this turn and does what is due; when the host's timer is to be set for, where none runs.
+    /// Records the answers received since the last call and does the work that is due. Returns the time to set the
+    /// host's timer for, or none if a timer is set already.
     pub fn run_due(
-        &mut self, now: f64, seen: Vec<(BlockId, f64)>, host: &mut impl SignalHost,
+        &mut self, now: f64, observed: Vec<(BlockId, f64)>, host: &mut impl SignalHost,
     ) -> Option<f64> {
-        seen.into_iter().for_each(|(block, latency_ratio)| self.observe_latency(now, block, latency_ratio));
+        observed
+            .into_iter()
+            .for_each(|(block, latency_ratio)| self.observe_latency(now, block, latency_ratio));
         if now >= self.next_tick_at() {
             self.tick(now, host);
         }
-        let next = Some(self.next_tick_at()).filter(|at| at.is_finite() && self.rings_at <= now);
-        self.rings_at = next.unwrap_or(self.rings_at);
+        let next = Some(self.next_tick_at()).filter(|at| at.is_finite() && self.timer_at <= now);
+        self.timer_at = next.unwrap_or(self.timer_at);
         next
     }
 
-    /// Does what is due.
+    /// Does the work that is due.
     pub fn tick(&mut self, now: f64, host: &mut impl SignalHost) {
-        if self.config.lends && now >= self.look_at {
-            self.look_at = now + LOOK;
+        if self.config.lends && now >= self.next_review_at {
+            self.next_review_at = now + REVIEW_INTERVAL;
             let mut out = Vec::new();
-            if self.manner == SignalBehavior::ClaimsAlways {
-                self.look_at = now + LOOK / 2.0;
-                self.lend.ask_anew();
-                self.lend.look(now, &mut Shouting(host), &mut out);
+            if self.behavior == SignalBehavior::ClaimsAlways {
+                self.next_review_at = now + REVIEW_INTERVAL / 2.0;
+                self.lending.forget_requests();
+                self.lending.review(now, &mut AlwaysClaiming(host), &mut out);
             } else {
-                self.lend.look(now, host, &mut out);
+                self.lending.review(now, host, &mut out);
             }
-            self.say(now, out, host);
+            self.send_parts(now, out, host);
         }
-        if self.config.sends_reports && now >= self.tell_at {
-            self.tell_at = now + TELL * (0.75 + 0.5 * self.chance.generate::<f64>());
-            self.tell_news(now, host);
+        if self.config.sends_reports && now >= self.next_report_at {
+            self.next_report_at = now + REPORT_INTERVAL * (0.75 + 0.5 * self.rng.generate::<f64>());
+            self.send_reports(now, host);
         }
     }
 
-    fn tell_news(&mut self, now: f64, host: &mut impl SignalHost) {
-        let news = match self.manner {
-            SignalBehavior::StaleReports => self.old_news(now),
-            _ => self.fresh_news(now),
+    fn send_reports(&mut self, now: f64, host: &mut impl SignalHost) {
+        let reports = match self.behavior {
+            SignalBehavior::StaleReports => self.outdated_reports(now),
+            _ => self.current_reports(now),
         };
-        self.spread(now, news, host);
+        self.distribute(now, reports, host);
     }
 
-    /// What a faulty process tells: what it saw ten seconds ago, as if it were new.
-    fn old_news(&mut self, now: f64) -> Vec<(f64, NodeReport)> {
-        let fresh = self.fresh_news(now);
-        self.kept.push_back((now, fresh));
-        let old = self.kept.front().is_some_and(|(at, _)| now - at >= 10.0);
-        let old = old.then(|| self.kept.pop_front()).flatten();
-        let old = old.map_or_else(Vec::new, |(_, news)| news);
-        old.into_iter().map(|(worth, news)| (worth, NodeReport { age: 0.0, ..news })).collect()
+    /// Reports of a faulty process: those of ten seconds ago, as if they were new.
+    fn outdated_reports(&mut self, now: f64) -> Vec<(f64, NodeReport)> {
+        let current = self.current_reports(now);
+        self.delayed_reports.push_back((now, current));
+        let is_due = self.delayed_reports.front().is_some_and(|(at, _)| now - at >= 10.0);
+        let outdated = is_due.then(|| self.delayed_reports.pop_front()).flatten();
+        let outdated = outdated.map_or_else(Vec::new, |(_, reports)| reports);
+        outdated.into_iter().map(|(worth, report)| (worth, NodeReport { age: 0.0, ..report })).collect()
     }
 
-    fn fresh_news(&mut self, now: f64) -> Vec<(f64, NodeReport)> {
-        self.seen.retain(|_, seen| now - seen.at / seen.answers < STALE);
+    /// Reports of all nodes with recent answers, each with its worth.
+    fn current_reports(&mut self, now: f64) -> Vec<(f64, NodeReport)> {
+        self.observed.retain(|_, observed| now - observed.time_sum / observed.answers < MAX_REPORT_AGE);
         let mean = self.mean.0 / self.mean.1.max(1e-9);
-        let mut news: Vec<(f64, NodeReport)> = Vec::new();
-        for (block, seen) in &self.seen {
-            let (latency_ratio, age) = (seen.sum / seen.answers, (now - seen.at / seen.answers).max(0.0));
-            let answers = seen.answers.min(MOST_ANSWERS);
-            // Worth of an entry: how much it changes what others would hold, who know all nodes' mean.
-            news.push((
+        let mut reports: Vec<(f64, NodeReport)> = Vec::new();
+        for (block, observed) in &self.observed {
+            let (latency_ratio, age) = (
+                observed.ratio_sum / observed.answers,
+                (now - observed.time_sum / observed.answers).max(0.0),
+            );
+            let answers = observed.answers.min(MAX_ANSWERS);
+            // Worth of a report: how much it changes the estimate of a receiver that knows the mean of all nodes.
+            reports.push((
                 answers * ((latency_ratio - mean).abs() + 0.1 * mean),
                 NodeReport { block: *block, latency_ratio, answers, age },
             ));
         }
-        news
+        reports
     }
 
-    /// To as many others as what the answers earned lets hear it.
-    fn spread(&mut self, now: f64, mut news: Vec<(f64, NodeReport)>, host: &mut impl SignalHost) {
+    /// Sends reports to as many other members as the byte budget allows.
+    fn distribute(&mut self, now: f64, mut reports: Vec<(f64, NodeReport)>, host: &mut impl SignalHost) {
         let others = self.config.members.iter().copied();
         let others: Vec<MemberId> =
-            others.filter(|one| *one != self.config.own_id && !self.lend.is_dead(*one)).collect();
-        news.sort_by(|one, other| other.0.total_cmp(&one.0));
-        news.truncate((MAX_SIGNAL_BYTES - HEAD - 2) / ENTRY);
-        let length = HEAD + 2 + ENTRY * news.len();
+            others.filter(|member| *member != self.config.own_id && !self.lending.is_dead(*member)).collect();
+        reports.sort_by(|a, b| b.0.total_cmp(&a.0));
+        reports.truncate((MAX_SIGNAL_BYTES - HEADER_BYTES - 2) / REPORT_BYTES);
+        let length = HEADER_BYTES + 2 + REPORT_BYTES * reports.len();
         let receivers = ((self.budget / length as f64) as usize).min(others.len());
-        if news.is_empty() || receivers == 0 {
+        if reports.is_empty() || receivers == 0 {
             return;
         }
         self.budget -= (length * receivers) as f64;
-        self.seen.clear();
-        let news: Vec<NodeReport> = news.into_iter().map(|(_, news)| news).collect();
+        self.observed.clear();
+        let reports: Vec<NodeReport> = reports.into_iter().map(|(_, report)| report).collect();
         let mut to = others;
-        self.chance.shuffle(&mut to);
+        self.rng.shuffle(&mut to);
         to.truncate(receivers);
-        self.counts.told += (news.len() * to.len()) as u64;
-        let out = to.into_iter().map(|to| (to, Part::NodeReports(news.clone()))).collect();
-        self.say(now, out, host);
+        self.counts.reports_sent += (reports.len() * to.len()) as u64;
+        let out = to.into_iter().map(|to| (to, Part::NodeReports(reports.clone()))).collect();
+        self.send_parts(now, out, host);
     }
 
-    /// Parts to members, those to one together in as few messages as hold them.
-    fn say(&mut self, now: f64, out: Vec<(MemberId, Part)>, host: &mut impl SignalHost) {
+    /// Sends parts to members, all parts for one member in as few messages as possible.
+    fn send_parts(&mut self, now: f64, out: Vec<(MemberId, Part)>, host: &mut impl SignalHost) {
         let mut by_member: BTreeMap<MemberId, Vec<Part>> = BTreeMap::new();
         out.into_iter().for_each(|(to, part)| by_member.entry(to).or_default().push(part));
         for (to, parts) in by_member {
-            let (mut held, mut length) = (Vec::new(), HEAD);
+            let (mut message_parts, mut length) = (Vec::new(), HEADER_BYTES);
             for part in parts {
                 if length + part.length() > MAX_SIGNAL_BYTES {
-                    self.send(now, to, std::mem::take(&mut held), host);
-                    length = HEAD;
+                    self.send(now, to, std::mem::take(&mut message_parts), host);
+                    length = HEADER_BYTES;
                 }
                 length += part.length();
-                held.push(part);
+                message_parts.push(part);
             }
-            self.send(now, to, held, host);
+            self.send(now, to, message_parts, host);
         }
     }
 
     fn send(&mut self, now: f64, to: MemberId, parts: Vec<Part>, host: &mut impl SignalHost) {
-        let (room, at) = self.room;
-        let room = (room + MOST_SENT * (now - at).max(0.0)).min(MOST_SENT);
-        self.room = (room, now);
-        if room < 1.0 {
-            self.counts.over += 1;
+        let (allowance, at) = self.message_allowance;
+        let allowance =
+            (allowance + MAX_MESSAGES_PER_SECOND * (now - at).max(0.0)).min(MAX_MESSAGES_PER_SECOND);
+        self.message_allowance = (allowance, now);
+        if allowance < 1.0 {
+            self.counts.rate_limited += 1;
             return;
         }
-        self.room.0 -= 1.0;
+        self.message_allowance.0 -= 1.0;
         self.number = self.number.wrapping_add(1);
         let bytes = Signal { incarnation: self.config.incarnation, number: self.number, parts }.encode();
         self.counts.sent += 1;
@@ -525,62 +580,75 @@
         host.send_signal(to, &bytes);
     }
 
-    /// A message came.
-    pub fn signal_received(&mut self, now: f64, from: MemberId, bytes: &[u8], host: &mut impl SignalHost) {
+    /// Handles a message that arrived.
+    pub fn signal_received(&mut self, now: f64, sender: MemberId, bytes: &[u8], host: &mut impl SignalHost) {
         let signal = match Signal::decode(bytes) {
             Ok(signal) => signal,
-            Err(DecodeError::Malformed) => return self.counts.bad += 1,
-            Err(DecodeError::WrongVersion) => return self.counts.version += 1,
+            Err(DecodeError::Malformed) => return self.counts.malformed += 1,
+            Err(DecodeError::WrongVersion) => return self.counts.wrong_version += 1,
         };
-        if from == self.config.own_id || !self.config.members.contains(&from) {
-            return self.counts.unknown += 1;
+        if sender == self.config.own_id || !self.config.members.contains(&sender) {
+            return self.counts.unknown_sender += 1;
         }
-        let fresh = Peer { incarnation: signal.incarnation, heard_at: now, came: ReplayWindow::default() };
-        let peer = self.peers.entry(from).or_insert_with(|| fresh.clone());
+        let fresh = Peer {
+            incarnation: signal.incarnation,
+            last_received_at: now,
+            received: ReplayWindow::default(),
+        };
+        let peer = self.peers.entry(sender).or_insert_with(|| fresh.clone());
         if peer.incarnation != signal.incarnation {
             let newer = signal.incarnation.wrapping_sub(peer.incarnation) as i32 > 0;
             if !newer
-                && now - peer.heard_at < SILENT
-                && self.config.disabled_safeguard != Some(Safeguard::Life)
+                && now - peer.last_received_at < INCARNATION_SILENCE
+                && self.config.disabled_safeguard != Some(Safeguard::Incarnation)
             {
-                return self.counts.old += 1;
+                return self.counts.old_incarnation += 1;
             }
             *peer = fresh;
         }
-        peer.heard_at = now;
-        let first =
-            peer.came.insert(signal.number) || self.config.disabled_safeguard == Some(Safeguard::Repeats);
-        self.counts.heard += 1;
-        self.counts.repeated += u64::from(!first);
+        peer.last_received_at = now;
+        let is_first = peer.received.insert(signal.number)
+            || self.config.disabled_safeguard == Some(Safeguard::DuplicateReports);
+        self.counts.received += 1;
+        self.counts.duplicates += u64::from(!is_first);
         let mut out = Vec::new();
         for part in &signal.parts {
             match part {
-                Part::NodeReports(news) if first => self.news(now, news, host),
+                Part::NodeReports(reports) if is_first => self.reports_received(now, reports, host),
                 Part::NodeReports(_) => {}
                 _ if self.config.lends => {
-                    let lives = (signal.incarnation, self.config.incarnation);
-                    if self.manner == SignalBehavior::ClaimsAlways {
-                        self.lend.part_received(now, from, lives, part, &mut Shouting(host), &mut out);
+                    let incarnations = (signal.incarnation, self.config.incarnation);
+                    if self.behavior == SignalBehavior::ClaimsAlways {
+                        self.lending.part_received(
+                            now,
+                            sender,
+                            incarnations,
+                            part,
+                            &mut AlwaysClaiming(host),
+                            &mut out,
+                        );
                     } else {
-                        self.lend.part_received(now, from, lives, part, host, &mut out);
+                        self.lending.part_received(now, sender, incarnations, part, host, &mut out);
                     }
                 }
                 _ => {}
             }
         }
-        self.say(now, out, host);
+        self.send_parts(now, out, host);
     }
 
-    fn news(&mut self, now: f64, news: &[NodeReport], host: &mut impl SignalHost) {
-        for news in news {
-            let answers = news.answers.min(MOST_ANSWERS);
-            let age = if self.config.disabled_safeguard == Some(Safeguard::Age) { 0.0 } else { news.age };
-            if answers > 0.0 && age < STALE {
-                self.counts.news += 1;
-                host.node_report_received(now, &NodeReport { answers, age, ..*news });
+    /// Hands reports that are not too old to the host.
+    fn reports_received(&mut self, now: f64, reports: &[NodeReport], host: &mut impl SignalHost) {
+        for report in reports {
+            let answers = report.answers.min(MAX_ANSWERS);
+            let age =
+                if self.config.disabled_safeguard == Some(Safeguard::ReportAge) { 0.0 } else { report.age };
+            if answers > 0.0 && age < MAX_REPORT_AGE {
+                self.counts.reports_received += 1;
+                host.node_report_received(now, &NodeReport { answers, age, ..*report });
             }
         }
     }
 }
 
-const _: () = assert!(HEAD + 1 + 9 + 2 * MOST_TOLD <= MAX_SIGNAL_BYTES);
+const _: () = assert!(HEADER_BYTES + 1 + 9 + 2 * MAX_SHARERS_SENT <= MAX_SIGNAL_BYTES);
--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -21,8 +21,8 @@
 /// A fault of a scenario. Members are given by number; `at` and `duration` are in seconds.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Kills the member. With `restart_after`, it starts again that many seconds later, without memory and with its wall
-    /// clock off by `clock_offset` seconds.
+    /// Kills the member. With `restart_after`, it starts again that many seconds later, without memory and with its
+    /// wall clock off by `clock_offset` seconds.
     Kill { member: u16, at: f64, restart_after: Option<f64>, clock_offset: f64 },
     /// The member's process does not run.
     Stall { member: u16, at: f64, duration: f64 },
@@ -620,8 +620,8 @@
         found.into_iter().for_each(|breach| self.outcome.add_breach(breach));
     }
 
-    /// No two members run one duty for longer than the takeover window, except during a cut and for one window after it.
-    /// Once the faults have ended, every duty is run at least every 10 s.
+    /// No two members run one duty for longer than the takeover window, except during a cut and for one window after
+    /// it. Once the faults have ended, every duty is run at least every 10 s.
     fn judge_duties(&mut self) {
         let config = FleetConfig::uniform("sim", 0, 1);
         let (window, gap) = (config.takeover_window, 2.5 * config.duty_interval);
@@ -663,8 +663,8 @@
     }
 }
 
-/// Time spans in which two members both ran a duty, as (first member, second member, start, end). Runs of one member that
-/// are at most `gap` seconds apart form one span of that member.
+/// Time spans in which two members both ran a duty, as (first member, second member, start, end). Runs of one member
+/// that are at most `gap` seconds apart form one span of that member.
 pub fn overlaps(runs: &[(f64, u16)], gap: f64) -> Vec<(u16, u16, f64, f64)> {
     let mut spans: Vec<(u16, f64, f64)> = Vec::new();
     for (at, by) in runs {
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -66,10 +66,10 @@
     config: FleetConfig,
     incarnation: u64,
     refutation: u32,
-    /// How often this process may still raise its incarnation above another one of its member number. The other one may
-    /// be left over from its own previous process, from before the wall clock was set back, or belong to a process that
-    /// is running. Of two running processes, each raises its incarnation above the other's until one has no raises left;
-    /// then one of them stays, usually the one that started later.
+    /// How often this process may still raise its incarnation above another one of its member number. The other one
+    /// may be left over from its own previous process, from before the wall clock was set back, or belong to a
+    /// process that is running. Of two running processes, each raises its incarnation above the other's until one has
+    /// no raises left; then one of them stays, usually the one that started later.
     raises_left: u32,
     started: f64,
     standing: Standing,
@@ -100,9 +100,9 @@
 }
 
 impl SwimMember {
-    /// Starts a member at `now`; its standing is alone. `since_epoch` is the wall clock in seconds. Its time and a random
-    /// number give an incarnation above all earlier ones of this member number. If the wall clock was set back, the
-    /// incarnation is raised once other members report the earlier one.
+    /// Starts a member at `now`; its standing is alone. `since_epoch` is the wall clock in seconds. Its time and a
+    /// random number give an incarnation above all earlier ones of this member number. If the wall clock was set
+    /// back, the incarnation is raised once other members report the earlier one.
     pub fn start(now: f64, since_epoch: f64, seed: u64, config: FleetConfig) -> SwimMember {
         let mut rng = WyRand::new_seed(seed);
         let members: Vec<MemberId> =
@@ -401,9 +401,9 @@
         }
     }
 
-    /// Starts the handling of an event at `now`, and detects whether this process was stalled. A stalled process has lost
-    /// what arrived meanwhile or has yet to read it. Nothing that it waited for counts against other members, and after a
-    /// long stall it waits before it runs duties.
+    /// Starts the handling of an event at `now`, and detects whether this process was stalled. A stalled process has
+    /// lost what arrived meanwhile or has yet to read it. Nothing that it waited for counts against other members,
+    /// and after a long stall it waits before it runs duties.
     fn begin_event(&mut self, now: f64) {
         let late = now - self.next_tick_at();
         self.now = now;
--- a/crates/fleet/tests/any.rs
+++ b/crates/fleet/tests/any.rs
@@ -8,7 +8,7 @@
     fleet_hash, DutyResult, MemberUpdate, Message, MessageKind, MAX_DATAGRAM_BYTES, MAX_DUTY_RESULTS,
     MAX_UPDATES,
 };
-use quaypath_fleet::subset::{all, spread, NodeHash, Way};
+use quaypath_fleet::subset::{all_subsets, load_spread, NodeHash, SubsetMethod};
 use quaypath_fleet::swim::SwimMember;
 use quaypath_fleet::{DutyId, FleetCore, MemberId, Status};
 
@@ -126,10 +126,10 @@
     fn subsets_have_the_requested_size(members in 1u16..60, nodes in 1usize..40, count in 1usize..9) {
         let members: Vec<MemberId> = (0..members).map(MemberId).collect();
         let nodes: Vec<NodeHash> = (0..nodes).map(|nth| NodeHash::of(&nth.to_string())).collect();
-        for way in [Way::Rendezvous, Way::Bounded, Way::Rounds] {
-            let subsets = all(way, &members, &nodes, count);
+        for method in [SubsetMethod::Rendezvous, SubsetMethod::Bounded, SubsetMethod::Rounds] {
+            let subsets = all_subsets(method, &members, &nodes, count);
             prop_assert!(subsets.values().all(|subset| subset.len() == count.min(nodes.len())));
-            prop_assert!(spread(&subsets, &nodes) >= 0.99);
+            prop_assert!(load_spread(&subsets, &nodes) >= 0.99);
         }
     }
 }
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/hard_cases.rs
@@ -1,6 +1,6 @@
-//! Fault scenarios of membership and duties in simulated time, and mutants: scenarios with one safeguard disabled, which
-//! have to break a guarantee. The simulation judges the statuses that members record and the duties that they run; its
-//! judge shares no code with the cores.
+//! Fault scenarios of membership and duties in simulated time, and mutants: scenarios with one safeguard disabled,
+//! which have to break a guarantee. The simulation judges the statuses that members record and the duties that they
+//! run; its judge shares no code with the cores.
 
 use std::collections::BTreeMap;
 
@@ -73,7 +73,8 @@
     Scenario { faults_end: 30.0, ..with_faults(40, kills.collect()) }
 }
 
-/// Each member's list lacks one member, each a different one. Members learn of each other through members that list both.
+/// Each member's list lacks one member, each a different one. Members learn of each other through members that list
+/// both.
 fn member_lists_differ() -> Scenario {
     let lists = (0..8).map(|member| (member, (0..8).filter(|listed| *listed != (member + 3) % 8).collect()));
     Scenario { member_lists: lists.collect(), ..without_faults(8) }
@@ -180,8 +181,8 @@
     assert!(!outcome.breaches.is_empty(), "no breach without the safeguard {disabled:?}");
 }
 
-/// A process that restarts is accepted at once. With an incarnation that does not grow, each of its datagrams would count
-/// as a duplicate, and it would be suspected again and again.
+/// A process that restarts is accepted at once. With an incarnation that does not grow, each of its datagrams would
+/// count as a duplicate, and it would be suspected again and again.
 #[test_case(None, false; "with growing incarnations")]
 #[test_case(Some(Safeguard::Incarnation), true; "without")]
 fn restarted_process_is_accepted(disabled: Option<Safeguard>, suspected: bool) {
@@ -370,8 +371,8 @@
     assert_eq!(member.core.counts().wrong_version, u64::from(recorded.is_none()));
 }
 
-/// Datagrams of another fleet, of unknown senders and of old incarnations, and damaged datagrams, are dropped and counted
-/// by cause.
+/// Datagrams of another fleet, of unknown senders and of old incarnations, and damaged datagrams, are dropped and
+/// counted by cause.
 #[test]
 fn dropped_datagrams_are_counted_by_cause() {
     let mut member = TestMember::start(None);
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -258,7 +258,7 @@
         None => None,
     };
     let lends = fleet.as_ref().and_then(|fleet| fleet.signals.as_ref()).is_some_and(|signals| signals.lends);
-    if lends && arguments.without != Some(Safeguard::Hold) {
+    if lends && arguments.without != Some(Safeguard::RestartHold) {
         deployment.core.earlier_loans_hold = lender_hold();
     }
     let options = Options {
