--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -411,9 +411,9 @@
         "PEERS_KNOWN" => {
             let kind = match fields.required::<u8>(0, "Scope")? {
                 0 => ListKind::Changes,
-                1 => ListKind::Complete,
+                1 => ListKind::Whole,
                 2 => ListKind::Cached,
-                3 => ListKind::FetchFailed,
+                3 => ListKind::Failed,
                 unknown => return Err(format!("PEERS_KNOWN: field Scope: unknown value '{unknown}'")),
             };
             scheduler.node_list_received(now, kind, &entries, outbox);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,7 +4,7 @@
 
 use helper::{settings, TestInitiator};
 use quaypath::types::{
-    ListKind::{Changes, Complete},
+    ListKind::{Changes, Whole},
     NodeCondition::*,
     Outcome::*,
     *,
@@ -86,7 +86,7 @@
 // shots are sent to it within a part of the grace.
 #[test_case(Changes, Draining, 1.1, 1 ; "within the part of the grace")]
 #[test_case(Changes, Draining, 1.3, 0 ; "near the end of the grace")]
-#[test_case(Complete, Draining, 0.1, 0 ; "a complete list does not state since when it drains")]
+#[test_case(Whole, Draining, 0.1, 0 ; "a complete list does not state since when it drains")]
 #[test_case(Changes, Removed, 0.1, 0 ; "removed")]
 fn shots_to_a_draining_node(kind: ListKind, condition: NodeCondition, after: f64, sent: usize) {
     let mut initiator = one_node(Settings { drain_grace: 2.0, ..settings() });
@@ -99,9 +99,9 @@
 
 #[test_case(Changes, &[("a", 1, Draining, 0.0)], 0 ; "draining")]
 #[test_case(Changes, &[("a", 1, Removed, 0.0)], 0 ; "removed")]
-#[test_case(Complete, &[("b", 2, Ready, 0.0)], 0 ; "absent from a complete list")]
+#[test_case(Whole, &[("b", 2, Ready, 0.0)], 0 ; "absent from a complete list")]
 #[test_case(Changes, &[("b", 2, Ready, 0.0)], 1 ; "absent from a list of changes")]
-#[test_case(ListKind::FetchFailed, &[], 1 ; "a failed fetch changes nothing")]
+#[test_case(ListKind::Failed, &[], 1 ; "a failed fetch changes nothing")]
 #[test_case(Changes, &[("c", 1, Ready, 0.0), ("a", 1, Removed, 0.0)], 1 ; "replaced, then the previous node removed")]
 fn shots_after_a_list(kind: ListKind, entries: &[(&str, i64, NodeCondition, f64)], sends: usize) {
     let mut initiator = one_node(settings());
@@ -114,7 +114,7 @@
 fn a_failed_fetch_of_the_list_is_retried_after_a_delay() {
     let mut initiator = TestInitiator::new(100.0, Settings { must_subscribe: true, ..settings() });
     assert_eq!(initiator.take_actions(), ["subscribe true"]);
-    initiator.receive_list(ListKind::FetchFailed, &[]);
+    initiator.receive_list(ListKind::Failed, &[]);
     assert!(initiator.take_actions().is_empty());
     initiator.run_until(102.0);
     assert_eq!(initiator.take_actions(), ["subscribe true"]);
@@ -248,7 +248,7 @@
         starts.iter().enumerate().map(|(index, start)| (format!("n{index}"), index as i64, *start)).collect();
     let entries: Vec<_> =
         nodes.iter().map(|(name, block, start)| (name.as_str(), *block, Ready, *start)).collect();
-    initiator.set_time(100.1).receive_list(Complete, &entries).take_actions();
+    initiator.set_time(100.1).receive_list(Whole, &entries).take_actions();
     initiator.receive(1, 3, 2, 2.0, None);
     assert_eq!(initiator.take_actions().join(" "), first);
 }
@@ -341,7 +341,7 @@
     let mut initiator = TestInitiator::new(100.0, settings());
     let names: Vec<_> = (0..300).map(|block| (format!("n{block}"), block)).collect();
     initiator.receive_list(
-        Complete,
+        Whole,
         &names.iter().map(|(name, block)| (name.as_str(), *block, Ready, 0.0)).collect::<Vec<_>>(),
     );
     for id in 0..4000 {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -315,7 +315,7 @@
         let mut actions = Actions::default();
         let mut scheduler = Scheduler::start(now, self.rng.generate(), self.settings(), &mut actions);
         let entries: Vec<ListedNode> = (0..self.case.nodes).map(|block| self.entry(block)).collect();
-        scheduler.node_list_received(now, ListKind::Complete, &entries, &mut actions);
+        scheduler.node_list_received(now, ListKind::Whole, &entries, &mut actions);
         scheduler
     }
 
