--- a/crates/record/src/background.rs
+++ b/crates/record/src/background.rs
@@ -157,7 +157,7 @@
     /// would hang during the scripted stall, and the counts before its end would be wrong.
     #[test]
     fn a_stalled_disk_blocks_no_caller_and_receives_the_last_content_whole() {
-        let folder = std::env::temp_dir().join(format!("quaypath-apart-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("quaypath-background-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (list, record) = (folder.join("nodes.list"), folder.join("record.jsonl"));
         let background_file = BackgroundFile::start(list.clone(), |_, error| panic!("{error}"));
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -39,7 +39,7 @@
     pub name: String,
     pub repeat: Repeat,
     pub dedup_scope: DedupScope,
-    /// How long nodes recognise a repeat after a shot was sent, seconds.
+    /// How long nodes recognise a repeat after the earlier shot arrived, seconds.
     pub dedup_window: f64,
     /// Transactions of one ordering key are sent one after the other.
     pub ordered: bool,
@@ -75,7 +75,7 @@
     /// Whether several shots of one transaction may be in flight at once.
     pub copies_allowed: bool,
     /// Budget of shots after the first of a transaction: share of the transactions accepted, number that is free, and
-    /// look-back in seconds.
+    /// look-back in seconds. Within any look-back, the free shots plus the share of the transactions are allowed.
     pub retry_budget: Option<(f64, f64, f64)>,
     /// If the register must be polled: the longest time between polls. Four times later a gateway counts as informed.
     pub poll_within: Option<f64>,
