--- a/crates/programs/tests/rig/gateway.rs
+++ b/crates/programs/tests/rig/gateway.rs
@@ -76,8 +76,9 @@
         (Gateway::start(&list, discovery.address, |_| {}), discovery)
     }
 
-    pub fn send_signal(&self, send_signal: Signal) {
-        kill_process(Pid::from_child(&self.child), send_signal).expect("it runs");
+    /// Sends this signal to the process, which must be running.
+    pub fn send_signal(&self, signal: Signal) {
+        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
     }
 
     /// Whether a line of its log contains this text.
@@ -87,8 +88,8 @@
 
     /// The lines of its log that contain this text.
     pub fn log_lines_with(&self, text: &str) -> Vec<String> {
-        let log_lines = self.log_lines.lock().expect("no panic");
-        log_lines.iter().filter(|line| line.contains(text)).cloned().collect()
+        let lines = self.log_lines.lock().expect("no panic");
+        lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
     /// Prints the log lines about tasks that kept the event loop busy for long, and the lines with counters.
