--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -26,7 +26,7 @@
 /// initiator can form a queue, so slack (work beyond the reservations) waits above SLACK_LATENCY_BASE plus
 /// SLACK_LATENCY_ALONE divided by the number of the volume's initiators, at most SLACK_LATENCY_MAX, as a surge
 /// comes through all initiators at once. Above RESERVE_LATENCY_MAX work within the reservations waits too, as
-/// single shots would otherwise keep a jam up indefinitely.
+/// single shots would otherwise keep the congestion up indefinitely.
 const LATENCY_TARGET: f64 = 0.1;
 const SLACK_LATENCY_BASE: f64 = 0.15;
 const SLACK_LATENCY_ALONE: f64 = 1.0;
@@ -534,7 +534,7 @@
             fleet_latency
         };
         let wider = node.latency.mean_with_prior(now, wider, PRIOR_ANSWERS);
-        // Where answers get lost, shots are stopped early and silence does not mean a jam.
+        // Where answers get lost, shots are stopped early and silence does not mean congestion.
         let silent = if node.in_flight > 0.0 && !loses_answers {
             (now - node.silent_since) / self.shortest_due
         } else {
@@ -583,7 +583,7 @@
             } else {
                 latency_ratio
             };
-            // Latency is weighed by benefit: transactions that can wait long are present whenever a jammed node
+            // Latency is weighed by benefit: transactions that can wait long are present whenever a congested node
             // admits some, while those that cannot have been given up by then.
             let benefit = self.settings.bands[band.0].benefit / self.highest_benefit;
             if latency_ratio <= self.max_latency_ratio(now, &name, rank.0, full) * benefit
@@ -754,7 +754,7 @@
         let transaction = &self.transactions[&id];
         let (estimate, units, block, name) =
             (transaction.estimate, transaction.units, transaction.block, transaction.volume.clone());
-        // At most twice the due time, so that one lost answer among good ones does not look like a jam.
+        // At most twice the due time, so that one lost answer among good ones does not look like congestion.
         let latency_ratio = (delay / self.settings.bands[transaction.band.0].due).min(2.0);
         let (node_was_idle, held_credit) =
             (transaction.node_was_idle, f64::from(u8::from(transaction.overdue_at.is_finite())));
@@ -862,7 +862,8 @@
             return;
         };
         let elapsed = now - sent_at;
-        // Slow answers of all nodes mean a jam rather than a stalled connection: checks again after the same time.
+        // Slow answers of all nodes mean congestion rather than a stalled connection: checks again after the same
+        // time.
         if self.settled_latency.mean(now, 0.0) >= SLACK_LATENCY_BASE {
             self.transactions.get_mut(&id).unwrap().overdue_at = now + elapsed;
             return outbox.set_timer(elapsed, id.0 << 2 | TAG_OVERDUE);
--- a/src/types.rs
+++ b/src/types.rs
@@ -107,7 +107,7 @@
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// All nodes: a node that is not listed is gone.
+    /// All nodes: a node that is not listed has been removed.
     Whole,
     /// All nodes, as stored by an earlier process.
     Cached,
@@ -200,15 +200,23 @@
 /// The actions of the core, one method each. `stop_at` is a clock time (0: the outer limit); `after` and
 /// `retry_after` are durations.
 pub trait Outbox {
+    /// Sends a shot of the transaction to the node and stops it at `stop_at`.
     fn send(&mut self, transaction: TransactionId, stop_at: f64, node: &NodeId);
+    /// Cancels the shot with this number, counted from 0, at its node.
     fn cancel(&mut self, transaction: TransactionId, shot: u32);
+    /// Answers the client that the transaction had no effect and may be sent again after `retry_after` (0: no
+    /// advice).
     fn decline(&mut self, transaction: TransactionId, retry_after: f64);
+    /// Answers the client that the transaction failed and may have had an effect.
     fn scrap(&mut self, transaction: TransactionId);
+    /// Sets a timer, which is reported by [`crate::scheduler::Scheduler::timer_fired`] with the tag.
     fn set_timer(&mut self, after: f64, tag: u64);
+    /// Subscribes to the node list of the register, or ends the subscription.
     fn subscribe(&mut self, on: bool);
     fn fetch_node_list(&mut self);
     fn probe(&mut self, node: &NodeId);
     fn close(&mut self, node: &NodeId);
+    /// Sends a message to an initiator, or to all if None.
     fn send_to_peer(&mut self, initiator: Option<u64>, payload: &[u8]);
     /// Reports the latency of an answer of the node with this block, divided by the due time, for use in peer
     /// reports.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -229,8 +229,8 @@
     );
 }
 
-// Guards against jams in a large fleet: nodes with few answers per initiator were sent to although they were
-// jammed, and late answers of all nodes had no effect.
+// Guards against congestion in a large fleet: nodes with few answers per initiator were sent to although they were
+// congested, and late answers of all nodes had no effect.
 #[test_case(2.0, 0.02, &["send 11 a", "send 12 a"] ; "quick answers: slack is sent")]
 #[test_case(2.0, 0.2, &["send 11 a", "send 12 a"] ; "half a due time, few initiators: slack is sent")]
 #[test_case(20.0, 0.2, &["send 12 a"] ; "half a due time, many initiators: slack waits")]
@@ -250,7 +250,7 @@
     assert_eq!(initiator.take_actions(), sent);
 }
 
-// Guards against time-outs that raise the concurrency limit: three in a jam raised it to one shot and more.
+// Guards against time-outs that raise the concurrency limit: three under congestion raised it to one shot and more.
 #[test]
 fn a_node_that_stays_silent_gets_no_slack() {
     let mut initiator = TestInitiator::new(100.0, settings());
@@ -276,10 +276,10 @@
     assert_eq!(initiator.sent_ids(), [3]);
 }
 
-// Guards against oscillation on days like piraeus-yard-later: in a jam, overdue shots released their credit, so
-// that nodes were opened and closed alternately.
+// Guards against oscillation on days like piraeus-yard-later: under congestion, overdue shots released their
+// credit, so that nodes were opened and closed alternately.
 #[test_case(0.02, &[2] ; "the others answer quickly: a stalled connection")]
-#[test_case(0.08, &[] ; "the others are slow too: a jam")]
+#[test_case(0.08, &[] ; "the others are slow too: congestion")]
 fn an_overdue_shot_releases_its_credit_unless_other_nodes_are_slow(delay: f64, sent: &[u64]) {
     let mut initiator = TestInitiator::new(100.0, Settings { initiators: 20.0, ..settings() });
     initiator.add_node("a", 1).add_node("b", 2).delay = delay;
@@ -440,8 +440,8 @@
     assert_eq!(initiator.receive(20, 3, 2, 1.0, block).sent_count(), sends);
 }
 
-// Guards against starvation of urgent bands at a jammed node: transactions that can wait long were present whenever
-// it admitted some, while those that cannot had been given up.
+// Guards against starvation of urgent bands at a congested node: transactions that can wait long were present
+// whenever it admitted some, while those that cannot had been given up.
 #[test_case(2.0, 1 ; "the highest benefit: the whole latency is allowed")]
 #[test_case(0.5, 0 ; "a quarter of the benefit: a quarter of the latency")]
 fn shots_of_a_band_at_a_latency_of_half_a_due_time(benefit: f64, sends: usize) {
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -98,11 +98,11 @@
     assert_eq!(initiator.scheduler.limit_balances(101.0), []);
 }
 
-/// Slack waits for a node that other initiators report as jammed, although this one has no answers of its own. Old
+/// Slack waits for a node that other initiators report as congested, although this one has no answers of its own. Old
 /// reports do not count.
-#[test_case(1.5, 0.1, 0; "a jam reported by others")]
+#[test_case(1.5, 0.1, 0; "congestion reported by others")]
 #[test_case(0.05, 0.1, 1; "a quick node")]
-#[test_case(1.5, 60.0, 1; "an old report of a jam")]
+#[test_case(1.5, 60.0, 1; "an old report of congestion")]
 fn slack_follows_the_reports_of_others(latency_ratio: f64, age: f64, sent: usize) {
     let mut initiator = TestInitiator::new(90.0, settings());
     initiator.add_node("a", 1).set_time(100.0);
