--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -93,6 +93,7 @@
 }
 
 impl Duties {
+    /// No duties yet; `interval` is the time between two runs of a duty in seconds.
     pub fn new(now: f64, own_id: MemberId, weight: u8, interval: f64, yields: bool) -> Duties {
         Duties {
             own_id,
--- a/crates/fleet/src/explore.rs
+++ b/crates/fleet/src/explore.rs
@@ -17,6 +17,7 @@
 use crate::signal::Part;
 use crate::MemberId;
 
+/// The only limit of the search.
 const LIMIT: LimitId = LimitId(7);
 /// Even part of each initiator, units.
 const EVEN_PART: f64 = 4.0;
@@ -26,6 +27,7 @@
 /// Limits of the search. The counts of events are maximums for one case.
 #[derive(Clone, Debug)]
 pub struct Bounds {
+    /// Number of initiators, which share one limit.
     pub initiators: usize,
     /// Number of initiators that may borrow; the others only lend.
     pub borrowers: usize,
@@ -44,6 +46,7 @@
     pub refill_rate: f64,
     /// Drift of each clock: -1 slow, 0 correct, 1 fast.
     pub clock_drifts: Vec<i8>,
+    /// Safeguard that is disabled, to show that the search finds a breach.
     pub disabled_safeguard: Option<Safeguard>,
     /// Maximum number of states visited.
     pub max_states: usize,
--- a/crates/fleet/src/fields.rs
+++ b/crates/fleet/src/fields.rs
@@ -8,6 +8,7 @@
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
+    /// Takes the next `N` bytes.
     pub fn take<const N: usize>(&mut self) -> Result<[u8; N], UnexpectedEnd> {
         let (field, remaining) = self.0.split_first_chunk::<N>().ok_or(UnexpectedEnd)?;
         self.0 = remaining;
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -25,6 +25,7 @@
 }
 
 impl HeartbeatBaseline {
+    /// Starts a member at `now`.
     pub fn start(now: f64, config: FleetConfig) -> HeartbeatBaseline {
         HeartbeatBaseline {
             config,
--- a/crates/fleet/src/lending.rs
+++ b/crates/fleet/src/lending.rs
@@ -29,8 +29,9 @@
 pub const MAX_CLOCK_DRIFT: f64 = 0.05;
 /// Seconds between two reviews of all limits.
 pub const REVIEW_INTERVAL: f64 = 0.1;
-/// Seconds after which an unanswered request is repeated; each further wait is twice as long, up to [`MAX_RETRY_WAIT`].
+/// Seconds after which an unanswered request is repeated; each further wait is twice as long.
 const FIRST_RETRY_WAIT: f64 = 0.2;
+/// Maximum wait in seconds before a request is repeated.
 const MAX_RETRY_WAIT: f64 = 2.0;
 /// Seconds without a shortfall after which the remaining units of a loan are returned.
 const RETURN_AFTER: f64 = 0.2;
@@ -203,6 +204,7 @@
 type Out<'a> = &'a mut Vec<(MemberId, Part)>;
 
 impl Lending {
+    /// Lending of a member that has granted and borrowed nothing yet.
     pub fn new(own_id: MemberId, members: Vec<MemberId>, disabled_safeguard: Option<Safeguard>) -> Lending {
         Lending {
             own_id,
@@ -272,6 +274,7 @@
         }
     }
 
+    /// Whether a member is recorded as dead.
     pub fn is_dead(&self, member: MemberId) -> bool {
         self.dead.contains(&member)
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -31,6 +31,7 @@
 pub struct DutyId(pub u32);
 
 impl DutyId {
+    /// Id of the duty with this name.
     pub fn of(name: &str) -> DutyId {
         DutyId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32)
     }
@@ -96,9 +97,11 @@
     fn send_signal(&mut self, _now: f64, _to: MemberId, _signal: &[u8], _out: &mut Vec<Action>) {}
     /// Announces to other members that this process leaves the fleet.
     fn leave(&mut self, now: f64, out: &mut Vec<Action>);
+    /// Standing of this process in the fleet.
     fn standing(&self) -> Standing;
     /// Members that are recorded as alive or suspected, including this one.
     fn live_members(&self) -> Vec<MemberId>;
+    /// Counters since the start.
     fn counts(&self) -> &Counts;
 }
 
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -16,6 +16,7 @@
 /// What is recorded of one member.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
+    /// Incarnation and refutation number that the status is for.
     pub incarnation: u64,
     pub refutation: u32,
     pub status: Status,
@@ -95,10 +96,12 @@
         }
     }
 
+    /// Whether a member is on the list.
     pub fn contains(&self, member: MemberId) -> bool {
         self.records.contains_key(&member)
     }
 
+    /// What is recorded of a member, none if nothing is known of it.
     pub fn get(&self, member: MemberId) -> Option<&MemberRecord> {
         self.records.get(&member).and_then(Option::as_ref)
     }
@@ -115,6 +118,7 @@
             .map(|(member, _)| member)
     }
 
+    /// Number of members that are recorded as alive or suspected.
     pub fn live_count(&self) -> usize {
         self.live_total
     }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -25,7 +25,9 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Version of the datagram format.
 pub const VERSION: u8 = 2;
+/// First bytes of each datagram.
 const MAGIC: [u8; 2] = *b"qf";
+/// Bytes before the count of member updates.
 const HEADER_BYTES: usize = 37;
 const UPDATE_BYTES: usize = 17;
 const DUTY_RESULT_BYTES: usize = 13;
@@ -64,6 +66,7 @@
     xxh3_64(name.as_bytes())
 }
 
+/// Kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// A liveness check. The receiver sends its answer to `member` too, unless that is [`NOBODY`].
@@ -113,6 +116,7 @@
     pub weight: u8,
     /// Time since the run, in units of 10 ms; [`MAX_AGE`] stands for that age or more.
     pub age: u16,
+    /// Whether the result was good, for example whether a probed node is healthy.
     pub good: bool,
 }
 
--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -30,6 +30,7 @@
 pub const MAX_SIGNAL_BYTES: usize = 256;
 /// Version of the signal format.
 pub const VERSION: u8 = 1;
+/// Bytes before the parts of a message.
 const HEADER_BYTES: usize = 9;
 const REPORT_BYTES: usize = 5;
 /// Bytes that may be sent, to all receivers together, for each answer received.
@@ -51,6 +52,7 @@
 /// Latency that an initiator observed at the node that holds a part of the data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeReport {
+    /// Part of the data that the node holds.
     pub block: BlockId,
     /// Mean latency at the node, divided by the due time.
     pub latency_ratio: f64,
@@ -223,6 +225,7 @@
 }
 
 impl Signal {
+    /// Encodes this message.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_SIGNAL_BYTES);
         out.push(VERSION);
@@ -232,6 +235,7 @@
         out
     }
 
+    /// Decodes a message.
     pub fn decode(bytes: &[u8]) -> Result<Signal, DecodeError> {
         if bytes.len() > MAX_SIGNAL_BYTES {
             return Err(DecodeError::Malformed);
@@ -388,6 +392,7 @@
 }
 
 impl Signals {
+    /// Starts the signals of an initiator at `now`.
     pub fn start(now: f64, mut config: SignalConfig) -> Signals {
         config.sends_reports &= config.message_cost == 0.0;
         let mut rng = WyRand::new_seed(config.seed ^ 0x51a);
@@ -418,6 +423,7 @@
         report_at.min(if self.config.lends { self.next_review_at } else { f64::INFINITY })
     }
 
+    /// Counters since the start, with those of lending.
     pub fn counts(&self) -> SignalCounts {
         SignalCounts { lending: self.lending.counts.clone(), ..self.counts.clone() }
     }
--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -39,8 +39,11 @@
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// Seed of all random choices.
     pub seed: u64,
+    /// Number of members.
     pub members: u16,
+    /// Number of duties.
     pub duties: u32,
     /// Simulated time in seconds.
     pub duration: f64,
@@ -57,6 +60,7 @@
     pub clock_rates: BTreeMap<u16, f64>,
     /// List of members that a member is started with, for members whose list differs from the full one.
     pub member_lists: BTreeMap<u16, Vec<u16>>,
+    /// Safeguard that all members run without.
     pub disabled_safeguard: Option<Safeguard>,
     /// Whether the members run the baseline ([`HeartbeatBaseline`]).
     pub baseline: bool,
@@ -176,6 +180,7 @@
     }
 }
 
+/// An event of the simulation. Processes and faults are given by index.
 enum Event {
     Deliver(usize, Vec<u8>),
     Tick(usize),
@@ -187,6 +192,7 @@
     Judge,
 }
 
+/// One process of a member.
 struct Process {
     /// Member number that the process runs under.
     member: u16,
@@ -209,6 +215,7 @@
     dead_since: BTreeMap<u16, f64>,
 }
 
+/// State of the simulation.
 struct World<'a> {
     scenario: &'a Scenario,
     rng: WyRand,
--- a/crates/fleet/src/subset.rs
+++ b/crates/fleet/src/subset.rs
@@ -14,6 +14,7 @@
 pub struct NodeHash(pub u64);
 
 impl NodeHash {
+    /// Hash of the node with this name.
     pub fn of(name: &str) -> NodeHash {
         NodeHash(xxh3_64(name.as_bytes()))
     }
@@ -22,6 +23,7 @@
 /// Maximum load of a node with [`bounded`], relative to the mean load.
 pub const MAX_LOAD_FACTOR: f64 = 1.25;
 
+/// Hash of a number, of a member or a round, and a node.
 fn pair_hash(number: u64, node: NodeHash) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -33,10 +33,11 @@
 /// Maximum number of answers to other members in one period, so that a process that resumes with a full socket buffer
 /// does not send a flood of answers.
 const MAX_ANSWERS_PER_PERIOD: usize = 24;
-/// How often a process may raise its incarnation above another one of its member number: a process that started within
-/// the last [`RECENT_START_WINDOWS`] takeover windows, and an older one.
+/// How often a process that started recently may raise its incarnation above another one of its member number.
 const MAX_RAISES_RECENT: u32 = 3;
+/// How often an older process may do so.
 const MAX_RAISES_OLD: u32 = 1;
+/// Takeover windows after its start during which a process counts as started recently.
 const RECENT_START_WINDOWS: f64 = 5.0;
 /// Number of members that a process which receives nothing contacts at once.
 const CONTACTS_WHEN_ALONE: usize = 3;
@@ -153,6 +154,7 @@
         this
     }
 
+    /// Incarnation of this process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
