--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -14,7 +14,7 @@
 //!
 //! All numbers are little endian. An initiator reports only answers that it received itself, so that none is counted
 //! twice. Each message goes to a few receivers, drawn anew each time. The bytes sent for reports are limited to
-//! [`BYTES_PER_ANSWER`] for each answer received; the reports with the most information are sent first.
+//! `BYTES_PER_ANSWER` for each answer received; the reports with the most information are sent first.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -319,7 +319,7 @@
     /// Messages dropped because their sender is not on the list of members.
     #[serde(rename = "unknown")]
     pub unknown_sender: u64,
-    /// Messages not sent because of [`MAX_MESSAGES_PER_SECOND`].
+    /// Messages not sent because of the limit of messages per second.
     #[serde(rename = "over")]
     pub rate_limited: u64,
     /// Node reports sent, counted once for each receiver.
