--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -119,14 +119,14 @@
     #[arg(long, default_value_t = 0.99)]
     part: f64,
     /// Highest rate to try, operations per second
-    #[arg(long, default_value_t = 20_000.0)]
-    most: f64,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 20_000.0)]
+    max_rate: f64,
     /// Duration of a trial, seconds
     #[arg(long, default_value_t = 10.0)]
     lasts: f64,
     /// Time between trials, seconds
-    #[arg(long, default_value_t = 2.0)]
-    rest: f64,
+    #[arg(long = "rest", value_name = "REST", default_value_t = 2.0)]
+    pause: f64,
     /// Maximum number of trials at one rate
     #[arg(long, default_value_t = 3)]
     repeats: u32,
@@ -323,11 +323,11 @@
     let listener =
         TcpListener::bind(arguments.gather.unwrap_or(any_port)).map_err(|error| error.to_string())?;
     let address = listener.local_addr().map_err(|error| error.to_string())?;
-    let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
+    let own_program = std::env::current_exe().map_err(|error| error.to_string())?;
     let mut children = Vec::new();
     if arguments.gather.is_none() {
         for _ in 0..arguments.parts {
-            let mut command = Command::new(&own_path);
+            let mut command = Command::new(&own_program);
             command.arg("join").arg(&arguments.load).arg(address.to_string()).stdin(Stdio::null());
             children.push(command.spawn().map_err(|error| error.to_string())?);
         }
@@ -477,7 +477,7 @@
     let mut search = Knee::new(Bar {
         part: arguments.part,
         from,
-        most: arguments.most,
+        most: arguments.max_rate,
         precision: arguments.precision.clamp(0.001, 0.5),
         repeats: arguments.repeats.max(1),
     });
@@ -493,7 +493,7 @@
             report::milliseconds(all.meant.value_at_quantile(0.99) as f64 / 1e6)
         );
         search.took(measured);
-        std::thread::sleep(std::time::Duration::from_secs_f64(arguments.rest.clamp(0.0, 600.0)));
+        std::thread::sleep(std::time::Duration::from_secs_f64(arguments.pause.clamp(0.0, 600.0)));
     }
     running.end()?;
     let criterion = format!("{} of {} in time", arguments.part, arguments.band);
@@ -574,7 +574,7 @@
             print_line!("{text}");
             Ok(true)
         }),
-        Action::Knee(knee_arguments) => knee(knee_arguments),
+        Action::Knee(knee_of) => knee(knee_of),
         Action::Show { load, first } => show(load, *first),
     };
     exit_code("quaypath-load", finished)
