--- a/crates/day/src/plan.rs
+++ b/crates/day/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use quaypath_settings::{Day, Deployment, FaultKind, Party, Surge};
+use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd, Surge};
 use quaypath_standins::client::Ask;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -72,12 +72,12 @@
             gateway: (**id * 5 + nth % initiators) % gateways,
             volume: **id,
             band,
-            units: (units.sample(&mut chance) as u32 + 1).min(deployment.most_units),
+            units: (units.sample(&mut chance) as u32 + 1).min(deployment.max_units),
             key: extent as u32 + 1,
             slba: extent * deployment.extent_blocks,
             blocks: 8.min(deployment.extent_blocks as u32),
             initiators,
-            budget: deployment.outer[band],
+            budget: deployment.outer_limits[band],
             leaves,
             retries: day
                 .traffic
@@ -164,8 +164,8 @@
     },
     Link {
         kind: FaultKind,
-        from: BTreeSet<Party>,
-        to: BTreeSet<Party>,
+        from: BTreeSet<LinkEnd>,
+        to: BTreeSet<LinkEnd>,
         size: f64,
         begins: bool,
     },
@@ -208,9 +208,9 @@
                     }
                 }
             }
-            kind if kind.of_links() => {
+            kind if kind.affects_links() => {
                 // Checked when the day was loaded.
-                let Ok((from, to)) = day.ends(deployment, fault) else { continue };
+                let Ok((from, to)) = day.link_ends(deployment, fault) else { continue };
                 let link = |begins| Act::Link { kind, from: from.clone(), to: to.clone(), size, begins };
                 acts.push((at, link(true)));
                 acts.push((ends, link(false)));
@@ -362,7 +362,7 @@
         // A side of some gateways against the others; datagrams only, as the nodes' links are their own faults'.
         let side = chance.random_range(1..day.fleet.gateways.max(2));
         let (from, to) = match kind {
-            kind if !kind.of_links() => (String::new(), String::new()),
+            kind if !kind.affects_links() => (String::new(), String::new()),
             Cut | OneWay | Hole => {
                 (format!("0-{}", side - 1), format!("{side}-{}", day.fleet.gateways.max(2) - 1))
             }
@@ -372,7 +372,7 @@
             kind,
             at,
             lasts: if kind == Replace { 0.0 } else { rest * chance.random_range(0.2..0.8) },
-            part: if kind.of_links() { 0.0 } else { chance.random_range(0.1..0.5) },
+            part: if kind.affects_links() { 0.0 } else { chance.random_range(0.1..0.5) },
             node: None,
             from,
             to,
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -71,7 +71,7 @@
 
 /// Judges events in order of time, and counts them.
 pub fn report(deployment: &Deployment, transit: f64, events: &[Event]) -> Report {
-    let mut book = deployment.book.clone();
+    let mut book = deployment.rule_parameters.clone();
     book.transit = transit;
     let mut bands: Vec<Sum> = deployment.band_names.iter().map(|name| Sum::new(name)).collect();
     let mut plans: Vec<Sum> = deployment.plan_names.iter().map(|name| Sum::new(name)).collect();
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -11,7 +11,7 @@
 use quaypath::types::NodeCondition;
 use quaypath_record::{Clock, Event, Writer};
 
-use quaypath_settings::{Day, Deployment, FaultKind, Party};
+use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd};
 use quaypath_standins::client::{self, Clients, Tally};
 use quaypath_standins::links::Links;
 use quaypath_standins::model::Figures;
@@ -271,7 +271,7 @@
     fn target_at(&mut self, block: i64, cold: bool, listener: std::net::TcpListener) -> Result<(), Error> {
         let (fleet, core) = (&self.day.fleet, &self.deployment.core);
         let zone = zone_of(block, self.deployment.zones);
-        let bands = self.deployment.book.bands.iter();
+        let bands = self.deployment.rule_parameters.bands.iter();
         let bands = bands.map(|band| target::BandRule::of(band, &zone, block)).collect();
         self.started += 1;
         let options = target::Options {
@@ -295,7 +295,7 @@
                 cancel_stops: fleet.cancel_stops,
             },
             bands,
-            metering: self.deployment.metering,
+            metering: self.deployment.metering_period,
             nominal: self.nominal.clone(),
             volumes: self.volumes.clone(),
             takes: target::TAKES,
@@ -410,9 +410,9 @@
                 if let Some(links) = &self.links {
                     links.set(*kind, from, to, *size, *begins);
                 }
-                let gateways = |ends: &std::collections::BTreeSet<Party>| {
-                    let gateway = |end: &Party| match end {
-                        Party::Gateway(number) => Some(*number),
+                let gateways = |ends: &std::collections::BTreeSet<LinkEnd>| {
+                    let gateway = |end: &LinkEnd| match end {
+                        LinkEnd::Gateway(number) => Some(*number),
                         _ => None,
                     };
                     ends.iter().filter_map(gateway).collect::<Vec<u32>>()
@@ -477,20 +477,20 @@
     let ends = day
         .fault
         .iter()
-        .filter(|fault| fault.kind.of_links())
-        .filter_map(|fault| day.ends(deployment, fault).ok());
+        .filter(|fault| fault.kind.affects_links())
+        .filter_map(|fault| day.link_ends(deployment, fault).ok());
     let mut ends = ends.flat_map(|(from, to)| from.into_iter().chain(to));
-    ends.any(|end| !matches!(end, Party::Gateway(_)))
+    ends.any(|end| !matches!(end, LinkEnd::Gateway(_)))
 }
 
 /// Where a gateway reaches the register.
 fn register_of(
     day: &Day, register: &Register, links: Option<&Links>, number: u32,
 ) -> Result<SocketAddr, Error> {
-    let links = links.filter(|_| day.fault.iter().any(|fault| fault.kind.of_links()));
+    let links = links.filter(|_| day.fault.iter().any(|fault| fault.kind.affects_links()));
     match links {
         Some(links) => {
-            links.via(number, Party::Register, register.address).map_err(io("a link to the register"))
+            links.via(number, LinkEnd::Register, register.address).map_err(io("a link to the register"))
         }
         None => Ok(register.address),
     }
@@ -518,7 +518,7 @@
         let known = blocks.clone();
         let of_node = move |node: &str| {
             let block = known.lock().unwrap_or_else(std::sync::PoisonError::into_inner).get(node).copied()?;
-            Some(Party::Node(block as u32))
+            Some(LinkEnd::Node(block as u32))
         };
         let via = links.as_ref().filter(|_| relays).map(|links| links.by_register(of_node));
         let mode = deployment.register.mode;
@@ -601,7 +601,7 @@
         "the day begins"
     );
     let start = record.clock.now() + 0.5;
-    let bands = deployment.book.bands.iter().zip(&deployment.writes);
+    let bands = deployment.rule_parameters.bands.iter().zip(&deployment.writes);
     let clients = Clients::start(
         client::Options {
             seed: day.seed ^ 0xc11e,
@@ -622,7 +622,7 @@
         stage.act(&act)?;
     }
     stage.wait_until(start, start + day.lasts);
-    let longest = deployment.longest();
+    let longest = deployment.max_outer_limit();
     let latest = start + day.lasts + 2.0 * longest + 3.0;
     while !clients.tally.lock().unwrap().done && record.clock.now() < latest {
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/day/src/shares.rs
+++ b/crates/day/src/shares.rs
@@ -68,7 +68,7 @@
 
 /// Sums up a record in order of time.
 pub fn shares(deployment: &Deployment, events: &[Event]) -> Shares {
-    let (core, limits) = (&deployment.core, &deployment.book.limits);
+    let (core, limits) = (&deployment.core, &deployment.rule_parameters.limits);
     let mut shares = Shares::default();
     let mut volumes: BTreeMap<u32, Volume> = BTreeMap::new();
     let mut open: HashMap<u64, (f64, u32, f64, f64)> = HashMap::new();
--- a/crates/initiator/src/index.rs
+++ b/crates/initiator/src/index.rs
@@ -112,7 +112,7 @@
         if let Some((_, end, node, extent)) = explicit.and_then(|ranges| ranges.find(slba)) {
             return Some(Place { block: node, extent, remaining: end - slba });
         }
-        let (extent, block) = deployment.place(settings, slba);
+        let (extent, block) = deployment.extent_and_block(settings, slba);
         let end = ((extent + 1) * deployment.extent_blocks).min(settings.size);
         let end = explicit.and_then(|ranges| ranges.next_start(slba)).map_or(end, |next| end.min(next));
         Some(Place { block, extent, remaining: end - slba })
--- a/crates/initiator/src/instance.rs
+++ b/crates/initiator/src/instance.rs
@@ -725,7 +725,7 @@
     /// Time after which bytes for a draining node are discarded from the kernel, seconds: 90 % of the drain grace less
     /// 10 ms, so that the reset arrives in time.
     fn drain_grace(&self) -> f64 {
-        (self.deployment.book.drain_grace * 0.9 - 0.01).max(0.0)
+        (self.deployment.rule_parameters.drain_grace * 0.9 - 0.01).max(0.0)
     }
 
     fn drain_grace_ended(&mut self, name: &NodeId) {
@@ -894,14 +894,14 @@
                 &[],
             );
         }
-        let max_budget = deployment.outer[band];
+        let max_budget = deployment.outer_limits[band];
         let requested_budget =
             if marks.budget_ms == 0 { max_budget } else { f64::from(marks.budget_ms) / 1e3 };
         // The time for which the command may have waited because the loop had no turn is deducted.
         let budget = (requested_budget.min(max_budget) - self.stall_delay()).max(1e-3);
         let units = match marks.units {
-            0 => length.div_ceil(4096).min(deployment.most_units as usize) as f64,
-            units => f64::from(units).min(f64::from(deployment.most_units)),
+            0 => length.div_ceil(4096).min(deployment.max_units as usize) as f64,
+            units => f64::from(units).min(f64::from(deployment.max_units)),
         };
         let id = self.next_id;
         self.next_id += 1;
--- a/crates/load/benches/generator.rs
+++ b/crates/load/benches/generator.rs
@@ -27,7 +27,7 @@
     );
     let path = folder.join("load.xml");
     std::fs::write(&path, text).unwrap();
-    let loaded = quaypath_settings::load_of(&path).unwrap();
+    let loaded = quaypath_settings::load(&path).unwrap();
     let _ = std::fs::remove_dir_all(folder);
     loaded
 }
@@ -85,7 +85,7 @@
 
 fn target(given: &Loaded, block: i64) -> Target {
     let zone = zone_of(block, given.deployment.zones);
-    let bands = given.deployment.book.bands.iter();
+    let bands = given.deployment.rule_parameters.bands.iter();
     let options = target::Options {
         block,
         zone: zone.clone(),
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -199,7 +199,7 @@
             behind: load.bounds.behind,
             lag: load.bounds.lag,
             groups: load.group.iter().map(|group| (group.first, group.last)).collect(),
-            longest: deployment.longest(),
+            longest: deployment.max_outer_limit(),
         };
         let mut wheel = TimerWheel::with_resolution(start, TICKS);
         let clients = load.closed.as_ref().map_or(0, |closed| closed.clients / of.max(1));
--- a/crates/load/src/recorded.rs
+++ b/crates/load/src/recorded.rs
@@ -207,7 +207,7 @@
         let slba = extent * self.deployment.extent_blocks;
         let count = self.peers.count().max(1);
         let peer = match (self.peers, row.initiator) {
-            (Peers::Targets(_), _) => self.deployment.place(volume, slba).1 as u32 % count,
+            (Peers::Targets(_), _) => self.deployment.extent_and_block(volume, slba).1 as u32 % count,
             (Peers::Gateways(_), Some(initiator)) => initiator % count,
             (Peers::Gateways(_), None) => id.wrapping_mul(5) % count,
         };
@@ -220,12 +220,15 @@
             volume: id,
             plan: volume.plan,
             band: row.band,
-            units: row.units.clamp(1, self.deployment.most_units),
+            units: row.units.clamp(1, self.deployment.max_units),
             key: extent as u32 + 1,
             slba,
             blocks: BLOCKS.min(self.deployment.extent_blocks) as u32,
             initiators: volume.initiators.min(count),
-            budget: row.budget.filter(|budget| *budget > 0.0).unwrap_or(self.deployment.outer[row.band]),
+            budget: row
+                .budget
+                .filter(|budget| *budget > 0.0)
+                .unwrap_or(self.deployment.outer_limits[row.band]),
             leaves: None,
             retries: None,
         })
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -173,7 +173,7 @@
     let source = stream(given.path, load, deployment, given.fleet.peers())?;
     let source = Part { source, part: place.part, of: place.of };
     let generator = Generator::new(load, deployment, source, place.start, place.of);
-    let longest = deployment.longest();
+    let longest = deployment.max_outer_limit();
     let last = match &load.recorded {
         Some(_) => f64::INFINITY,
         None => place.start + load.lasts + longest * f64::from(1 + load.retries.min(3)) + 1.0,
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -6,7 +6,7 @@
 //! changing one distribution leaves the others' draws as they were.
 
 use quaypath_settings::{
-    Abuse, Deployment, Draw as DrawForm, DrawKind, Leave, Load, Open, Process, MOST_RATE,
+    Abuse, Deployment, Draw as DrawForm, DrawKind, Leave, Load, Open, Process, MAX_RATE,
 };
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -212,7 +212,7 @@
             shape,
             gaps,
             turns,
-            units: draw(&load.units, plain(DrawKind::Geometric, mean), u64::from(deployment.most_units))?,
+            units: draw(&load.units, plain(DrawKind::Geometric, mean), u64::from(deployment.max_units))?,
             blocks: draw(&load.blocks, plain(DrawKind::Fixed, BLOCKS as f64), deployment.extent_blocks)?,
             extents: extents.transpose()?,
             lead: load.lead.as_ref().map(|lead| (lead.part, lead.lasts)),
@@ -285,7 +285,7 @@
         let count = self.peers.count().max(1);
         let initiators = volume.initiators.min(count);
         let peer = match self.peers {
-            Peers::Targets(_) => self.deployment.place(volume, slba).1 as u32 % count,
+            Peers::Targets(_) => self.deployment.extent_and_block(volume, slba).1 as u32 % count,
             Peers::Gateways(_) => {
                 let leads = self.lead.filter(|(part, _)| chance.random::<f64>() < *part);
                 let nth = match leads {
@@ -312,12 +312,12 @@
             volume: id,
             plan: volume.plan,
             band,
-            units: self.units.draw(u64::from(self.deployment.most_units), chance) as u32,
+            units: self.units.draw(u64::from(self.deployment.max_units), chance) as u32,
             key: extent as u32 + 1,
             slba,
             blocks: self.blocks.draw(self.deployment.extent_blocks.min(2048), chance) as u32,
             initiators,
-            budget: self.deployment.outer[band],
+            budget: self.deployment.outer_limits[band],
             leaves,
             retries: abuse.map(|abuse| (abuse.retries, abuse.wait)),
         }
@@ -410,8 +410,8 @@
 /// Whether the rate can be at all, with the reason if not.
 pub fn check(load: &Load, deployment: &Deployment) -> Result<(), String> {
     let peak = peak(load, deployment)?;
-    if peak > MOST_RATE {
-        return Err(format!("open, rate: found {peak:.0} a second at the peak; {MOST_RATE:.0} at most"));
+    if peak > MAX_RATE {
+        return Err(format!("open, rate: found {peak:.0} a second at the peak; {MAX_RATE:.0} at most"));
     }
     // By Little's law, with every answer just in time.
     let shares = load.shares(deployment);
@@ -549,7 +549,7 @@
         let loaded = load(&text);
         for one in all(&text, Peers::Targets(loaded.deployment.nodes)) {
             let volume = &loaded.deployment.volumes[&one.volume];
-            assert_eq!(i64::from(one.peer), loaded.deployment.place(volume, one.slba).1);
+            assert_eq!(i64::from(one.peer), loaded.deployment.extent_and_block(volume, one.slba).1);
         }
     }
 }
--- a/crates/load/src/testing.rs
+++ b/crates/load/src/testing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use quaypath_settings::{load_of, Loaded};
+use quaypath_settings::Loaded;
 
 /// Elements of a load; what a test does not change stays plain.
 pub struct Text {
@@ -82,7 +82,7 @@
 
 pub fn load(text: &Text) -> Loaded {
     let folder = files(text);
-    let loaded = load_of(&folder.join("load.xml")).unwrap();
+    let loaded = quaypath_settings::load(&folder.join("load.xml")).unwrap();
     let _ = std::fs::remove_dir_all(folder);
     loaded
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -147,9 +147,9 @@
                 entry_error("known", error.to_string(), "expected a list in the format of discovery")
             })?,
         };
-        let pairs = Pairs::of_json(&value_of("settings"));
+        let pairs = Pairs::from_json(&value_of("settings"));
         let setting_error = |message| Error::Setting { path: path.into(), message };
-        let (mut core, names) = pairs::core(&pairs).map_err(setting_error)?;
+        let (mut core, names) = pairs::core_settings(&pairs).map_err(setting_error)?;
         let transport = transport_settings(&pairs, names.bands.len()).map_err(setting_error)?;
         // A node decides by the arrival of a repeat whether it is in the window. A new connection may delay the arrival by
         // the connect timeout, so the core uses a window that is shorter by this time.
--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -262,7 +262,7 @@
     let folder = arguments.folder.clone().unwrap_or(default_folder.clone());
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let source = arguments.day.parent().unwrap_or(Path::new("")).join(&day.deployment);
-    let text = migrate::crowd(&source, arguments.count).map_err(|error| error.to_string())?;
+    let text = migrate::resize_fleet(&source, arguments.count).map_err(|error| error.to_string())?;
     let resized = folder.join("deployment.xml");
     std::fs::write(&resized, text).map_err(|error| format!("{}: {error}", resized.display()))?;
     let deployment = quaypath_settings::deployment(&resized).map_err(|error| error.to_string())?;
--- a/crates/programs/src/bin/gateway.rs
+++ b/crates/programs/src/bin/gateway.rs
@@ -20,7 +20,7 @@
 use quaypath_platform::Config;
 use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{background, Clock};
-use quaypath_settings::{Deployment, Signalled, Talk};
+use quaypath_settings::{Deployment, FleetSettings, SignalScope};
 
 /// Accepts transactions of clients over NVMe/TCP, or over the platform's HTTP, and schedules them over storage nodes.
 #[derive(Parser)]
@@ -64,7 +64,7 @@
     member: Vec<(u16, SocketAddr)>,
     /// What it reports and lends to other initiators, in place of the settings': none, news, parts or all
     #[arg(long, value_parser = parse_signalled)]
-    signals: Option<Signalled>,
+    signals: Option<SignalScope>,
     /// Disable a safeguard, only for checking that the tests notice
     #[arg(long, hide = true, value_parser = parse_safeguard)]
     without: Option<Safeguard>,
@@ -79,12 +79,12 @@
     pair.ok_or_else(|| "a number and an address, as 3=127.0.0.1:7300".into())
 }
 
-fn parse_signalled(text: &str) -> Result<Signalled, String> {
+fn parse_signalled(text: &str) -> Result<SignalScope, String> {
     match text {
-        "none" => Ok(Signalled::None),
-        "news" => Ok(Signalled::News),
-        "parts" => Ok(Signalled::Parts),
-        "all" => Ok(Signalled::All),
+        "none" => Ok(SignalScope::None),
+        "news" => Ok(SignalScope::NodeReports),
+        "parts" => Ok(SignalScope::Lending),
+        "all" => Ok(SignalScope::All),
         _ => Err("none, news, parts or all".into()),
     }
 }
@@ -152,7 +152,7 @@
 }
 
 /// Configuration of what this gateway reports and lends to others; none if that is switched off.
-fn signal_config(arguments: &Arguments, talk: &Talk, seed: u64) -> Option<signal::SignalConfig> {
+fn signal_config(arguments: &Arguments, talk: &FleetSettings, seed: u64) -> Option<signal::SignalConfig> {
     let signalled = arguments.signals.unwrap_or(talk.signals);
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let own_config = signal::SignalConfig {
@@ -162,17 +162,17 @@
         // range.
         incarnation: wall.map_or(0, |since| (since.as_millis() / 10) as u32),
         seed,
-        sends_reports: matches!(signalled, Signalled::News | Signalled::All),
-        lends: matches!(signalled, Signalled::Parts | Signalled::All),
+        sends_reports: matches!(signalled, SignalScope::NodeReports | SignalScope::All),
+        lends: matches!(signalled, SignalScope::Lending | SignalScope::All),
         message_cost: 0.0,
         disabled_safeguard: arguments.without,
     };
-    (signalled != Signalled::None && !arguments.baseline).then_some(own_config)
+    (signalled != SignalScope::None && !arguments.baseline).then_some(own_config)
 }
 
 /// Options of this gateway as a member of the fleet, with its socket bound.
 fn fleet_options(
-    arguments: &Arguments, deployment: &Deployment, talk: &Talk, seed: u64,
+    arguments: &Arguments, deployment: &Deployment, talk: &FleetSettings, seed: u64,
 ) -> Result<fleet::Options, String> {
     let number = arguments.number as u16;
     let own_entry = talk.member.iter().find(|member| member.number == number).ok_or_else(|| {
--- a/crates/programs/src/bin/load.rs
+++ b/crates/programs/src/bin/load.rs
@@ -226,7 +226,7 @@
 
 /// Reads and checks a load.
 fn read_load(path: &Path) -> Result<Loaded, String> {
-    let loaded = quaypath_settings::load_of(path).map_err(|error| error.to_string())?;
+    let loaded = quaypath_settings::load(path).map_err(|error| error.to_string())?;
     check(&loaded.load, &loaded.deployment).map_err(|reason| format!("{}: {reason}", path.display()))?;
     Ok(loaded)
 }
--- a/crates/programs/src/bin/migrate.rs
+++ b/crates/programs/src/bin/migrate.rs
@@ -43,12 +43,12 @@
         write(&migration.text, &[&old, &to], &output, force).map_err(|error| error.to_string())?;
     }
     migration.notes.iter().for_each(|note| print_line!("{note}"));
-    if migration.same() {
+    if migration.is_unchanged() {
         print_line!("{}: already of this shape, unchanged in meaning", old.display());
     }
     let action = if dry_run { "would write" } else { "written" };
     print_line!("{action}: {}", output.display());
-    Ok(migration.whole())
+    Ok(migration.is_complete())
 }
 
 fn main() -> ExitCode {
--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -107,7 +107,7 @@
     print_line!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
     let (block, core) = (arguments.block, &deployment.core);
     let zone = zone_of(block, deployment.zones);
-    let bands = deployment.book.bands.iter().map(|band| BandRule::of(band, &zone, block));
+    let bands = deployment.rule_parameters.bands.iter().map(|band| BandRule::of(band, &zone, block));
     let options = Options {
         block,
         zone: zone.clone(),
@@ -129,7 +129,7 @@
             cancel_stops: true,
         },
         bands: bands.collect(),
-        metering: deployment.metering,
+        metering: deployment.metering_period,
         nominal: Arc::new(
             deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect(),
         ),
--- a/crates/programs/tests/load.rs
+++ b/crates/programs/tests/load.rs
@@ -108,7 +108,7 @@
     let folder = Folder::new(arrivals, lasts);
     let target = Target::start(&folder);
     let path = folder.path("load.xml");
-    let loaded = quaypath_settings::load_of(&path).unwrap();
+    let loaded = quaypath_settings::load(&path).unwrap();
     let clock = Clock::default();
     let fleet = Fleet { addresses: vec![target.address], targets: true };
     let start = clock.now() + 0.5;
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -83,20 +83,20 @@
 
 impl FaultKind {
     /// Whether it falls on links, by `from` and `to`.
-    pub fn of_links(self) -> bool {
+    pub fn affects_links(self) -> bool {
         use FaultKind::*;
         matches!(self, Cut | OneWay | Hole | Delay | Lose | Repeat | Reorder | Garble | Drip)
     }
 
     /// Whether it falls on gateways.
-    pub fn of_gateways(self) -> bool {
+    pub fn affects_gateways(self) -> bool {
         use FaultKind::*;
         let own = matches!(self, Stop | Forget | Twins | Clock | ClockStep | DiskStands | Shouts | StaleNews);
         own || matches!(self, KillInitiators | StallInitiators)
     }
 
     /// Whether `size` is a part of all.
-    fn parts(self) -> bool {
+    fn size_is_fraction(self) -> bool {
         use FaultKind::*;
         matches!(self, Lose | Repeat | Reorder | Garble)
     }
@@ -104,7 +104,7 @@
 
 /// An end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Party {
+pub enum LinkEnd {
     Gateway(u32),
     /// The node that holds this part of the data.
     Node(u32),
@@ -113,7 +113,7 @@
 
 /// The ends that a list names: `all`, `nodes`, `register`, `zone-1`, gateways as `0-3,7`, nodes as `n2,n4-5`. A
 /// gateway's zone is its number in turn, as a node's is its block's.
-fn parties(text: &str, gateways: u32, nodes: u32, zones: u32) -> Result<BTreeSet<Party>, String> {
+fn parties(text: &str, gateways: u32, nodes: u32, zones: u32) -> Result<BTreeSet<LinkEnd>, String> {
     let mut all = BTreeSet::new();
     let range = |word: &str, most: u32| -> Result<std::ops::RangeInclusive<u32>, String> {
         let (from, to) = word.split_once('-').unwrap_or((word, word));
@@ -125,22 +125,22 @@
     for word in text.split(',') {
         match word {
             "all" => {
-                all.extend((0..gateways).map(Party::Gateway));
-                all.extend((0..nodes).map(Party::Node));
-                all.insert(Party::Register);
+                all.extend((0..gateways).map(LinkEnd::Gateway));
+                all.extend((0..nodes).map(LinkEnd::Node));
+                all.insert(LinkEnd::Register);
             }
-            "gateways" => all.extend((0..gateways).map(Party::Gateway)),
-            "nodes" => all.extend((0..nodes).map(Party::Node)),
-            "register" => drop(all.insert(Party::Register)),
+            "gateways" => all.extend((0..gateways).map(LinkEnd::Gateway)),
+            "nodes" => all.extend((0..nodes).map(LinkEnd::Node)),
+            "register" => drop(all.insert(LinkEnd::Register)),
             _ => {
                 if let Some(zone) = word.strip_prefix("zone-") {
                     let zone = *range(zone, zones)?.start();
-                    all.extend((0..gateways).filter(|one| one % zones == zone).map(Party::Gateway));
-                    all.extend((0..nodes).filter(|one| one % zones == zone).map(Party::Node));
+                    all.extend((0..gateways).filter(|one| one % zones == zone).map(LinkEnd::Gateway));
+                    all.extend((0..nodes).filter(|one| one % zones == zone).map(LinkEnd::Node));
                 } else if let Some(of_nodes) = word.strip_prefix('n') {
-                    all.extend(range(of_nodes, nodes)?.map(Party::Node));
+                    all.extend(range(of_nodes, nodes)?.map(LinkEnd::Node));
                 } else {
-                    all.extend(range(word, gateways)?.map(Party::Gateway));
+                    all.extend(range(word, gateways)?.map(LinkEnd::Gateway));
                 }
             }
         }
@@ -322,7 +322,7 @@
         let parted = fault.part > 0.0 || fault.node.is_some();
         let whole =
             matches!(fault.kind, FaultKind::RegisterFails | FaultKind::RegisterLate | FaultKind::LateReports);
-        if fault.kind.of_links() {
+        if fault.kind.affects_links() {
             if fault.from.is_empty() || fault.to.is_empty() || parted {
                 return bad(place, "no from and to, or part or node", "links are named by both ends alone");
             }
@@ -331,7 +331,7 @@
         } else if !parted && !whole {
             return bad(place, "neither part nor node", "state which nodes or gateways it falls on");
         }
-        if fault.kind.parts() && !(fault.size > 0.0 && fault.size <= 1.0) {
+        if fault.kind.size_is_fraction() && !(fault.size > 0.0 && fault.size <= 1.0) {
             return bad(place, fault.size, "size is a part of all datagrams, above 0, 1 at most");
         }
         let sized = matches!(fault.kind, FaultKind::Delay | FaultKind::Drip | FaultKind::ClockStep);
@@ -369,13 +369,14 @@
         {
             return bad("traffic, abuse", format!("plan '{}'", abuse.plan), "a plan of the deployment");
         }
-        for (at, fault) in self.fault.iter().enumerate().filter(|(_, fault)| fault.kind.of_links()) {
+        for (at, fault) in self.fault.iter().enumerate().filter(|(_, fault)| fault.kind.affects_links()) {
             let place = format!("fault {} ({:?})", at + 1, fault.kind);
-            let (from, to) = match self.ends(deployment, fault) {
+            let (from, to) = match self.link_ends(deployment, fault) {
                 Ok(ends) => ends,
                 Err(found) => return bad(place, found, "ends as the day's gateways, nodes and zones are"),
             };
-            let gateway = |ends: &BTreeSet<Party>| ends.iter().any(|end| matches!(end, Party::Gateway(_)));
+            let gateway =
+                |ends: &BTreeSet<LinkEnd>| ends.iter().any(|end| matches!(end, LinkEnd::Gateway(_)));
             if !gateway(&from) && !gateway(&to) {
                 return bad(place, "no gateway at either end", "links are those of gateways");
             }
@@ -402,9 +403,9 @@
     }
 
     /// Both ends of a fault of links.
-    pub fn ends(
+    pub fn link_ends(
         &self, deployment: &Deployment, fault: &Fault,
-    ) -> Result<(BTreeSet<Party>, BTreeSet<Party>), String> {
+    ) -> Result<(BTreeSet<LinkEnd>, BTreeSet<LinkEnd>), String> {
         let of = |text: &str| parties(text, self.fleet.gateways, self.fleet.nodes, deployment.zones.max(1));
         Ok((of(&fault.from)?, of(&fault.to)?))
     }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -196,19 +196,21 @@
 /// What initiators that talk tell and lend each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Signalled {
+pub enum SignalScope {
     None,
     /// What their answers told of nodes.
-    News,
+    #[serde(rename = "news")]
+    NodeReports,
     /// Parts of volumes' limits.
-    Parts,
+    #[serde(rename = "parts")]
+    Lending,
     #[default]
     All,
 }
 
 /// How the initiators talk; times in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Talk {
+pub struct FleetSettings {
     /// Told apart from other fleets by it.
     #[serde(rename = "@name")]
     pub name: String,
@@ -227,7 +229,7 @@
     #[serde(rename = "@window")]
     pub window: f64,
     #[serde(rename = "@signals", default)]
-    pub signals: Signalled,
+    pub signals: SignalScope,
     pub member: Vec<Member>,
 }
 
@@ -307,7 +309,7 @@
     units: UnitsForm,
     layout: LayoutForm,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    fleet: Option<Talk>,
+    fleet: Option<FleetSettings>,
     band: Vec<BandForm>,
     plan: Vec<PlanForm>,
     #[serde(rename = "band-rule", default)]
@@ -354,16 +356,16 @@
     /// What the core is started with.
     pub core: Settings,
     /// What the rules are judged by.
-    pub book: rules::Parameters,
+    pub rule_parameters: rules::Parameters,
     pub band_names: Vec<String>,
     /// Longest time that a caller of each band waits, seconds; and whether the band writes.
-    pub outer: Vec<f64>,
+    pub outer_limits: Vec<f64>,
     pub writes: Vec<bool>,
     pub plan_names: Vec<String>,
     pub nominal: Vec<f64>,
-    pub most_units: u32,
+    pub max_units: u32,
     /// Period of the use figures in answers, seconds; 0: none.
-    pub metering: f64,
+    pub metering_period: f64,
     pub nodes: u32,
     pub zones: u32,
     /// Logical blocks of one extent.
@@ -373,7 +375,7 @@
     /// By volume, then by range; none overlap.
     pub placements: Vec<Placement>,
     /// Absent: initiators do not talk.
-    pub fleet: Option<Talk>,
+    pub fleet: Option<FleetSettings>,
 }
 
 impl Deployment {
@@ -389,12 +391,12 @@
     }
 
     /// Longest time that any caller waits, seconds.
-    pub fn longest(&self) -> f64 {
-        self.outer.iter().copied().fold(0.0, f64::max)
+    pub fn max_outer_limit(&self) -> f64 {
+        self.outer_limits.iter().copied().fold(0.0, f64::max)
     }
 
     /// Extent of a volume that a logical block lies in, and the part of the data that holds it.
-    pub fn place(&self, volume: &Volume, slba: u64) -> (u64, i64) {
+    pub fn extent_and_block(&self, volume: &Volume, slba: u64) -> (u64, i64) {
         let extent = slba / self.extent_blocks;
         (extent, volume.blocks[(extent % volume.blocks.len() as u64) as usize])
     }
@@ -538,7 +540,7 @@
     Ok(all)
 }
 
-fn talk(talk: &Talk, initiators: u32) -> Result<(), Bad> {
+fn talk(talk: &FleetSettings, initiators: u32) -> Result<(), Bad> {
     for (place, value) in [("period", talk.period), ("wait", talk.wait), ("probe-every", talk.probe_every)] {
         positive(&format!("fleet, {place}"), value)?;
     }
@@ -668,7 +670,7 @@
         earlier_loans_hold: 0.0,
         retry_budget: further,
     };
-    let book = rules::Parameters {
+    let rule_parameters = rules::Parameters {
         bands: judged,
         limits,
         answer_slack: figures.answer_slack,
@@ -687,14 +689,14 @@
         register: form.register,
         connections: form.connections,
         core,
-        book,
-        outer: form.band.iter().map(|band| band.outer).collect(),
+        rule_parameters,
+        outer_limits: form.band.iter().map(|band| band.outer).collect(),
         writes: form.band.iter().map(|band| band.writes).collect(),
         band_names: form.band.into_iter().map(|band| band.name).collect(),
         nominal: form.plan.iter().map(|plan| plan.nominal).collect(),
         plan_names: form.plan.into_iter().map(|plan| plan.name).collect(),
-        most_units: form.units.most,
-        metering: form.units.metering,
+        max_units: form.units.most,
+        metering_period: form.units.metering,
         nodes: form.layout.nodes,
         zones: form.layout.zones,
         extent_blocks: form.layout.extent_blocks,
--- a/crates/settings/src/deployment/migrate.rs
+++ b/crates/settings/src/deployment/migrate.rs
@@ -19,7 +19,7 @@
 use crate::{check, load_form, Error};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum NoteKind {
     /// The new shape has no place for it.
     Lost,
     /// Only the new shape has it, or has another figure.
@@ -29,7 +29,7 @@
 /// One thing that differs between the old file and the new: element and attribute, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    pub kind: Kind,
+    pub kind: NoteKind,
     pub place: String,
     pub reason: String,
 }
@@ -37,8 +37,8 @@
 impl fmt::Display for Note {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         let kind = match self.kind {
-            Kind::Lost => "not carried over",
-            Kind::Filled => "filled in",
+            NoteKind::Lost => "not carried over",
+            NoteKind::Filled => "filled in",
         };
         write!(out, "{kind}: {}: {}", self.place, self.reason)
     }
@@ -53,18 +53,18 @@
 
 impl Migration {
     /// Whether all that the old file said stands in the new one.
-    pub fn whole(&self) -> bool {
-        self.notes.iter().all(|note| note.kind == Kind::Filled)
+    pub fn is_complete(&self) -> bool {
+        self.notes.iter().all(|note| note.kind == NoteKind::Filled)
     }
 
     /// Whether the old file had the new shape before.
-    pub fn same(&self) -> bool {
+    pub fn is_unchanged(&self) -> bool {
         self.notes.is_empty()
     }
 }
 
 #[derive(Debug, Failure)]
-pub enum Unwritten {
+pub enum WriteError {
     #[error("{0}: is the file that is read; the old file is never written over")]
     Input(PathBuf),
     #[error("{0}: stands already; --force writes over it")]
@@ -77,14 +77,14 @@
 struct Notes(Vec<Note>);
 
 impl Notes {
-    fn add(&mut self, kind: Kind, place: impl Into<String>, reason: impl Into<String>) {
+    fn add(&mut self, kind: NoteKind, place: impl Into<String>, reason: impl Into<String>) {
         self.0.push(Note { kind, place: place.into(), reason: reason.into() });
     }
 
     /// The shape's value in place of the old one.
     fn take<T: PartialEq + fmt::Display>(&mut self, place: &str, old: &mut T, shape: T) {
         if *old != shape {
-            self.add(Kind::Filled, place, format!("{shape} by the shape, was {old}"));
+            self.add(NoteKind::Filled, place, format!("{shape} by the shape, was {old}"));
             *old = shape;
         }
     }
@@ -126,7 +126,7 @@
             Some(now) if *band == *now => {}
             Some(now) => {
                 let reason = format!("now {} ({}), was {}", now.name, described(now), described(band));
-                notes.add(Kind::Filled, place, reason);
+                notes.add(NoteKind::Filled, place, reason);
             }
             None => {
                 let like = shape.band.iter().find(|known| known.writes == band.writes);
@@ -138,14 +138,14 @@
                      the old deployment",
                     described(band)
                 );
-                notes.add(Kind::Lost, place, reason);
+                notes.add(NoteKind::Lost, place, reason);
             }
         }
     }
     for band in &shape.band {
         if !found.iter().any(|(_, now)| now.is_some_and(|now| now.name == band.name)) {
             let reason = format!("only the shape has it ({})", described(band));
-            notes.add(Kind::Filled, format!("band {}", band.name), reason);
+            notes.add(NoteKind::Filled, format!("band {}", band.name), reason);
         }
     }
     old.band_rule.retain_mut(|rule| {
@@ -153,7 +153,9 @@
         let Some((_, now)) = found.iter().find(|(band, _)| band.name == rule.band) else { return true };
         match now {
             Some(now) => rule.band.clone_from(&now.name),
-            None => notes.add(Kind::Lost, format!("band-rule {}", rule.band), "its band is not carried over"),
+            None => {
+                notes.add(NoteKind::Lost, format!("band-rule {}", rule.band), "its band is not carried over")
+            }
         }
         now.is_some()
     });
@@ -168,7 +170,7 @@
             "limit {}, burst {}, slack {}: no plan of the shape has a limit (rule 7 asks nothing there)",
             plan.limit, plan.burst, plan.slack
         );
-        notes.add(Kind::Lost, format!("plan {}", plan.name), reason);
+        notes.add(NoteKind::Lost, format!("plan {}", plan.name), reason);
         (plan.limit, plan.burst, plan.slack) = (0.0, 0.0, 0.0);
     }
 }
@@ -182,7 +184,7 @@
             ("nodes", old.layout.nodes, &mut group.nodes),
         ] {
             if *value > most {
-                notes.add(Kind::Lost, place(what), format!("{value}: the shape has {most}"));
+                notes.add(NoteKind::Lost, place(what), format!("{value}: the shape has {most}"));
                 *value = most;
             }
         }
@@ -191,7 +193,7 @@
     old.placement.retain(|range| {
         if range.node >= nodes {
             let place = format!("placement of volume {} from {}", range.volume, range.from);
-            notes.add(Kind::Lost, place, format!("node {}: the shape has {nodes}, from 0", range.node));
+            notes.add(NoteKind::Lost, place, format!("node {}: the shape has {nodes}, from 0", range.node));
         }
         range.node < nodes
     });
@@ -201,7 +203,7 @@
     let mode = |form: &Form| format!("{:?}", form.register.mode).to_lowercase();
     if old.register.mode != shape.register.mode {
         let reason = format!("{} by the shape, was {}", mode(shape), mode(old));
-        notes.add(Kind::Filled, "register, mode", reason);
+        notes.add(NoteKind::Filled, "register, mode", reason);
         old.register.mode = shape.register.mode;
     }
     notes.take("register, ask-within", &mut old.register.ask_within, shape.register.ask_within);
@@ -228,7 +230,7 @@
         (was, now) if was == now => {}
         (Some(was), None) => {
             notes.add(
-                Kind::Lost,
+                NoteKind::Lost,
                 "rules, further",
                 format!("a budget of {was}: the shape states none (rule 6)"),
             );
@@ -236,7 +238,7 @@
         (was, now) => {
             let was = was.map_or("none".into(), |was| format!("a budget of {was}"));
             let reason = format!("a budget of {} by the shape (rule 6), was {was}", now.unwrap_or_default());
-            notes.add(Kind::Filled, "rules, further", reason);
+            notes.add(NoteKind::Filled, "rules, further", reason);
         }
     }
     rules.further.clone_from(&by.further);
@@ -252,13 +254,13 @@
         talk.member.retain(|member| u32::from(member.number) < most);
         if talk.member.len() < before {
             let reason = format!("{} members: the shape has {most} initiators", before - talk.member.len());
-            notes.add(Kind::Lost, "fleet, member", reason);
+            notes.add(NoteKind::Lost, "fleet, member", reason);
         }
     }
     if old.layout.nodes != shape.layout.nodes {
         let reason =
             "their extents lie on other nodes of another number of them: data is copied before the start";
-        notes.add(Kind::Filled, "volumes", reason);
+        notes.add(NoteKind::Filled, "volumes", reason);
     }
     notes.take("layout, nodes", &mut old.layout.nodes, shape.layout.nodes);
     notes.take("layout, zones", &mut old.layout.zones, shape.layout.zones);
@@ -293,7 +295,7 @@
 
 /// The text of the deployment at `path` with a fleet of so many members on loopback addresses of their own, all of one
 /// weight: to measure a fleet at another size.
-pub fn crowd(path: &Path, members: u16) -> Result<String, Error> {
+pub fn resize_fleet(path: &Path, members: u16) -> Result<String, Error> {
     let (mut form, _): (Form, _) = load_form(path, "deployment")?;
     form.layout.initiators = u32::from(members);
     let Some(talk) = &mut form.fleet else {
@@ -329,7 +331,7 @@
     carry(&mut form, &by, &mut notes);
     if inside > 0 {
         notes.add(
-            Kind::Lost,
+            NoteKind::Lost,
             "comments",
             format!("{inside} inside the deployment: only those before it are kept"),
         );
@@ -344,15 +346,15 @@
 
 /// Writes to the side and puts the file in place when whole, so that a kill or a full disk leaves nothing half
 /// written. Without `force` another's file is left alone, also one that appears meanwhile.
-pub fn write(text: &str, inputs: &[&Path], output: &Path, force: bool) -> Result<(), Unwritten> {
+pub fn write(text: &str, inputs: &[&Path], output: &Path, force: bool) -> Result<(), WriteError> {
     let real = |path: &Path| fs::canonicalize(path).ok();
     if real(output).is_some_and(|at| inputs.iter().any(|input| real(input).as_ref() == Some(&at))) {
-        return Err(Unwritten::Input(output.into()));
+        return Err(WriteError::Input(output.into()));
     }
     if !force && output.symlink_metadata().is_ok() {
-        return Err(Unwritten::Stands(output.into()));
+        return Err(WriteError::Stands(output.into()));
     }
-    let io = |source| Unwritten::Io { path: output.into(), source };
+    let io = |source| WriteError::Io { path: output.into(), source };
     let Some(name) = output.file_name() else {
         return Err(io(std::io::Error::other("not the name of a file")));
     };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,14 +10,14 @@
 
 use thiserror::Error;
 
-pub use day::{Abuse, Day, Fault, FaultKind, Fleet, LeadChange, Leave, Party, Surge, Traffic};
+pub use day::{Abuse, Day, Fault, FaultKind, Fleet, LeadChange, Leave, LinkEnd, Surge, Traffic};
 pub use deployment::{
-    migrate, BandRule, Connections, Deployment, Digests, Listen, Member, Mode, Placement, Register,
-    Signalled, Talk, Volume,
+    migrate, BandRule, Connections, Deployment, Digests, FleetSettings, Listen, Member, Mode, Placement,
+    Register, SignalScope, Volume,
 };
 pub use load::{
     Benefit, Bounds, Closed, Draw, DrawKind, Group, Lead, Load, Open, Process, Recorded, Remap, Shape,
-    Shapes, Weighted, MOST_RATE,
+    Shapes, Weighted, MAX_RATE,
 };
 
 /// The schema, as shipped.
@@ -30,7 +30,7 @@
     #[error("{path}: {source}")]
     Io { path: PathBuf, source: std::io::Error },
     #[error("{path}: {length} bytes, {LONGEST} at most")]
-    Long { path: PathBuf, length: u64 },
+    TooLong { path: PathBuf, length: u64 },
     #[error("{path}: not well-formed XML: {what}")]
     Xml { path: PathBuf, what: String },
     #[error("{path}:{line}: {what} (schema quaypath.xsd)")]
@@ -57,7 +57,7 @@
     let io = |source| Error::Io { path: path.into(), source };
     let length = std::fs::metadata(path).map_err(io)?.len();
     if length > LONGEST {
-        return Err(Error::Long { path: path.into(), length });
+        return Err(Error::TooLong { path: path.into(), length });
     }
     std::fs::read_to_string(path).map_err(io)
 }
@@ -122,7 +122,7 @@
 }
 
 /// Schema, checks, decoded; and the text that it was decoded from.
-fn load<T, F: serde::de::DeserializeOwned>(
+fn load_checked<T, F: serde::de::DeserializeOwned>(
     path: &Path, root: &str, decode: impl FnOnce(F) -> Result<T, Bad>,
 ) -> Result<(T, String), Error> {
     let (form, text) = load_form(path, root)?;
@@ -132,17 +132,17 @@
 
 /// The deployment that another file names, relative to that file's own place.
 fn beside(path: &Path, name: &str) -> Result<(Deployment, String), Error> {
-    load(&path.parent().unwrap_or(Path::new("")).join(name), "deployment", deployment::decode)
+    load_checked(&path.parent().unwrap_or(Path::new("")).join(name), "deployment", deployment::decode)
 }
 
 /// Loads a deployment: schema, checks, decoded.
 pub fn deployment(path: &Path) -> Result<Deployment, Error> {
-    load(path, "deployment", deployment::decode).map(|(deployment, _)| deployment)
+    load_checked(path, "deployment", deployment::decode).map(|(deployment, _)| deployment)
 }
 
 /// Loads a day and the deployment that it names, relative to the day's own place.
 pub fn day(path: &Path) -> Result<(Day, Deployment), Error> {
-    let (day, _): (Day, _) = load(path, "day", day::decode)?;
+    let (day, _): (Day, _) = load_checked(path, "day", day::decode)?;
     let (deployment, _) = beside(path, &day.deployment)?;
     day.fits(&deployment).map_err(|bad| bad.at(path))?;
     Ok((day, deployment))
@@ -157,8 +157,8 @@
 }
 
 /// Loads a load and the deployment that it names, relative to the load's own place.
-pub fn load_of(path: &Path) -> Result<Loaded, Error> {
-    let (load, text): (Load, _) = self::load(path, "load", load::decode)?;
+pub fn load(path: &Path) -> Result<Loaded, Error> {
+    let (load, text): (Load, _) = load_checked(path, "load", load::decode)?;
     let (deployment, deployment_text) = beside(path, &load.deployment)?;
     load.fits(&deployment).map_err(|bad| bad.at(path))?;
     Ok(Loaded { load, deployment, text, deployment_text })
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -295,7 +295,7 @@
 const MOST_INTERVALS: f64 = 100_000.0;
 /// Most operations that a generator may hold, and transactions a second that may be asked of one load.
 const MOST_OPEN: f64 = 1_000_000.0;
-pub const MOST_RATE: f64 = 1_000_000.0;
+pub const MAX_RATE: f64 = 1_000_000.0;
 
 fn above(place: &str, value: f64) -> Result<(), Bad> {
     if value > 0.0 {
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -20,7 +20,7 @@
 
 impl Pairs {
     /// From text with one space between pairs.
-    pub fn of_text(text: &str) -> Result<Self, String> {
+    pub fn from_text(text: &str) -> Result<Self, String> {
         let mut map = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
             let (path, value) = pair
@@ -33,7 +33,7 @@
 
     /// From nested JSON: names are joined by dots, lists of plain values by commas; a list of objects has its
     /// length under `count`.
-    pub fn of_json(value: &Value) -> Self {
+    pub fn from_json(value: &Value) -> Self {
         let mut pairs = Pairs::default();
         pairs.flatten("", value);
         pairs
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn needed<T: FromStr>(&self, path: &str) -> Result<T, String> {
+    pub fn required<T: FromStr>(&self, path: &str) -> Result<T, String> {
         self.optional(path)?.ok_or_else(|| format!("setting {path} is missing"))
     }
 
@@ -101,16 +101,16 @@
 }
 
 /// The core's settings, and the names of bands and plans. An error names the path.
-pub fn core(pairs: &Pairs) -> Result<(Settings, Names), String> {
+pub fn core_settings(pairs: &Pairs) -> Result<(Settings, Names), String> {
     let mut names = Names::default();
     let mut bands = Vec::new();
-    for at in 0..pairs.needed::<usize>("Grades.count")? {
+    for at in 0..pairs.required::<usize>("Grades.count")? {
         let path = |leaf: &str| format!("Grades.{at}.{leaf}");
-        names.bands.push(pairs.needed(&path("Name"))?);
+        names.bands.push(pairs.required(&path("Name"))?);
         bands.push(Band {
-            due: pairs.needed(&path("Objective"))?,
+            due: pairs.required(&path("Objective"))?,
             benefit: pairs.number(&path("Credit"))?,
-            repeat: match pairs.needed::<String>(&path("Repeat"))?.as_str() {
+            repeat: match pairs.required::<String>(&path("Repeat"))?.as_str() {
                 "retryable" => Repeat::Repeatable,
                 "dedup" => Repeat::Tagged,
                 "fragile" => Repeat::OnceOnly,
@@ -128,7 +128,7 @@
     let mut plans = Vec::new();
     for at in 0..pairs.optional::<usize>("Policies.count")?.unwrap_or(0) {
         let path = |leaf: &str| format!("Policies.{at}.{leaf}");
-        names.plans.push(pairs.needed(&path("Name"))?);
+        names.plans.push(pairs.required(&path("Name"))?);
         plans.push(Plan {
             limit: pairs.number(&path("Cap"))?,
             burst: pairs.number(&path("MostAtOnce"))?,
@@ -140,7 +140,7 @@
     }
     let look_back = pairs.number("Rules.LookBack")?;
     let settings = Settings {
-        initiators: pairs.needed("Balancers")?,
+        initiators: pairs.required("Balancers")?,
         bands,
         plans,
         mean_units: pairs.number("FamilyInfo.MeanUnits")?,
--- a/crates/settings/tests/migrate.rs
+++ b/crates/settings/tests/migrate.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use quaypath_settings::deployment;
-use quaypath_settings::migrate::{migrate, write, Kind};
+use quaypath_settings::migrate::{migrate, write, NoteKind};
 use test_case::test_case;
 
 fn sample(name: &str) -> PathBuf {
@@ -50,15 +50,15 @@
     let migration = migrate(&sample(old), &sample(shape)).unwrap();
     let places =
         |kind| migration.notes.iter().filter(move |note| note.kind == kind).map(|note| note.place.as_str());
-    assert_eq!(places(Kind::Lost).collect::<Vec<_>>(), lost);
-    filled.iter().for_each(|place| assert!(places(Kind::Filled).any(|told| told == *place), "{place}"));
-    assert_eq!((migration.whole(), migration.same()), (lost.is_empty(), old == shape));
+    assert_eq!(places(NoteKind::Lost).collect::<Vec<_>>(), lost);
+    filled.iter().for_each(|place| assert!(places(NoteKind::Filled).any(|told| told == *place), "{place}"));
+    assert_eq!((migration.is_complete(), migration.is_unchanged()), (lost.is_empty(), old == shape));
     // What is written loads as at start, and carrying it over once more changes nothing.
     let folder = Folder::new();
     let new = folder.file("new.xml", &migration.text);
     let (now, was, by) =
         (deployment(&new).unwrap(), deployment(&sample(old)).unwrap(), deployment(&sample(shape)).unwrap());
-    assert!(migrate(&new, &sample(shape)).unwrap().same());
+    assert!(migrate(&new, &sample(shape)).unwrap().is_unchanged());
     assert_eq!((now.name, now.plan_names, now.volumes.len()), (was.name, was.plan_names, was.volumes.len()));
     assert_eq!(format!("{:?}", now.core.bands), format!("{:?}", by.core.bands));
     assert_eq!(now.core.retry_budget, by.core.retry_budget);
@@ -81,7 +81,7 @@
     let small = small.replace("initiators=\"72\" nodes=\"12\"", "initiators=\"6\" nodes=\"6\"");
     let shape = folder.file("shape.xml", &small);
     let notes = migrate(&old, &shape).unwrap().notes;
-    let told = notes.iter().any(|note| note.kind == Kind::Lost && note.place.starts_with(place));
+    let told = notes.iter().any(|note| note.kind == NoteKind::Lost && note.place.starts_with(place));
     assert!(told, "{notes:?}");
 }
 
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -18,7 +18,7 @@
 use quaypath_fleet::message::{Message, MessageKind, MAX_DATAGRAM_BYTES};
 use quaypath_fleet::Status;
 use quaypath_record::{Event as Line, Writer};
-use quaypath_settings::{FaultKind, Party};
+use quaypath_settings::{FaultKind, LinkEnd};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug)]
 struct On {
     kind: FaultKind,
-    from: BTreeSet<Party>,
-    to: BTreeSet<Party>,
+    from: BTreeSet<LinkEnd>,
+    to: BTreeSet<LinkEnd>,
     size: f64,
 }
 
 impl On {
-    fn touches(&self, from: Party, to: Party) -> bool {
+    fn touches(&self, from: LinkEnd, to: LinkEnd) -> bool {
         let one_way = self.from.contains(&from) && self.to.contains(&to);
         one_way || self.kind != FaultKind::OneWay && self.from.contains(&to) && self.to.contains(&from)
     }
@@ -74,7 +74,7 @@
 }
 
 impl State {
-    fn touching(&self, from: Party, to: Party) -> impl Iterator<Item = &On> {
+    fn touching(&self, from: LinkEnd, to: LinkEnd) -> impl Iterator<Item = &On> {
         self.on.iter().filter(move |on| on.touches(from, to))
     }
 
@@ -82,7 +82,7 @@
         *self.struck.entry(format!("{kind:?}")).or_default() += 1;
     }
 
-    fn fate(&mut self, from: Party, to: Party, chance: &mut SmallRng) -> Fate {
+    fn fate(&mut self, from: LinkEnd, to: LinkEnd, chance: &mut SmallRng) -> Fate {
         let mut fate = Fate { copies: 1, ..Fate::default() };
         let mut struck = Vec::new();
         for on in self.touching(from, to) {
@@ -115,7 +115,7 @@
     /// Where each member's datagrams are to be sent.
     pub members: BTreeMap<u32, SocketAddr>,
     state: Shared,
-    opens: Sender<(TcpListener, Party, Party, SocketAddr)>,
+    opens: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
     _running: Running,
 }
 
@@ -185,13 +185,13 @@
     }
 
     /// Where a gateway reaches this address, through a relay of its own.
-    pub fn via(&self, gateway: u32, to: Party, address: SocketAddr) -> io::Result<SocketAddr> {
+    pub fn via(&self, gateway: u32, to: LinkEnd, address: SocketAddr) -> io::Result<SocketAddr> {
         reach(&self.state, &self.opens, gateway, to, address)
     }
 
     /// The same, for the register to tell.
     pub fn by_register(
-        &self, of: impl Fn(&str) -> Option<Party> + Send + Sync + 'static,
+        &self, of: impl Fn(&str) -> Option<LinkEnd> + Send + Sync + 'static,
     ) -> crate::register::Via {
         let (state, opens) = (self.state.clone(), self.opens.clone());
         Arc::new(move |gateway, node| {
@@ -203,7 +203,7 @@
     }
 
     pub fn set(
-        &self, kind: FaultKind, from: &BTreeSet<Party>, to: &BTreeSet<Party>, size: f64, begins: bool,
+        &self, kind: FaultKind, from: &BTreeSet<LinkEnd>, to: &BTreeSet<LinkEnd>, size: f64, begins: bool,
     ) {
         let on = On { kind, from: from.clone(), to: to.clone(), size };
         let mut state = self.state();
@@ -223,7 +223,7 @@
 }
 
 fn reach(
-    state: &Shared, opens: &Sender<(TcpListener, Party, Party, SocketAddr)>, gateway: u32, to: Party,
+    state: &Shared, opens: &Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, gateway: u32, to: LinkEnd,
     address: SocketAddr,
 ) -> io::Result<SocketAddr> {
     let mut state = state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -232,7 +232,7 @@
     }
     let listener = crate::target::listener()?;
     let ours = listener.local_addr()?;
-    let opened = opens.try_send((listener, Party::Gateway(gateway), to, address));
+    let opened = opens.try_send((listener, LinkEnd::Gateway(gateway), to, address));
     opened.map_err(|_| io::Error::other("too many links open at once"))?;
     state.reached.insert((gateway, address), ours);
     Ok(ours)
@@ -283,7 +283,7 @@
         let mut state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let Some((from, process)) = state.sources.get(&source).copied() else { return };
         self.listen(from, process, &bytes);
-        let fate = state.fate(Party::Gateway(from), Party::Gateway(self.number), &mut self.chance);
+        let fate = state.fate(LinkEnd::Gateway(from), LinkEnd::Gateway(self.number), &mut self.chance);
         let homes = state.homes.get(&self.number).cloned().unwrap_or_default();
         drop(state);
         if fate.lost {
@@ -344,7 +344,7 @@
 
 /// Opens the relays of connections as they are wanted.
 async fn open(
-    opened: Receiver<(TcpListener, Party, Party, SocketAddr)>, state: Shared,
+    opened: Receiver<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, state: Shared,
     executor: Weak<LocalExecutor<'static>>,
 ) {
     while let Ok((listener, from, to, address)) = opened.recv().await {
@@ -375,7 +375,7 @@
     Cut,
 }
 
-fn stands(state: &Shared, from: Party, to: Party) -> Stands {
+fn stands(state: &Shared, from: LinkEnd, to: LinkEnd) -> Stands {
     let mut state = state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let (mut late, mut drip, mut worst) = (0.0, f64::INFINITY, None);
     for on in state.touching(from, to) {
@@ -410,7 +410,7 @@
 
 /// Joins a connection with one to where it wants to go.
 async fn join(
-    near: Async<TcpStream>, from: Party, to: Party, address: SocketAddr, state: Shared,
+    near: Async<TcpStream>, from: LinkEnd, to: LinkEnd, address: SocketAddr, state: Shared,
     executor: Weak<LocalExecutor<'static>>,
 ) {
     if matches!(stands(&state, from, to), Stands::Cut) {
@@ -444,7 +444,7 @@
 
 /// Reads one direction; nothing is read while the link holds, so that the kernels fill up as on a real one.
 async fn take(
-    input: Rc<Async<TcpStream>>, pieces: Sender<(f64, Vec<u8>)>, from: Party, to: Party, state: Shared,
+    input: Rc<Async<TcpStream>>, pieces: Sender<(f64, Vec<u8>)>, from: LinkEnd, to: LinkEnd, state: Shared,
 ) {
     let clock = quaypath_record::Clock::default();
     let mut bytes = vec![0; PIECE];
@@ -475,8 +475,8 @@
 
 /// Writes one direction, each piece when its delay is over.
 async fn give(
-    input: Rc<Async<TcpStream>>, output: Rc<Async<TcpStream>>, taken: Receiver<(f64, Vec<u8>)>, from: Party,
-    to: Party, state: Shared,
+    input: Rc<Async<TcpStream>>, output: Rc<Async<TcpStream>>, taken: Receiver<(f64, Vec<u8>)>,
+    from: LinkEnd, to: LinkEnd, state: Shared,
 ) {
     let clock = quaypath_record::Clock::default();
     let mut writer = &*output;
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -220,7 +220,7 @@
 
 /// Starts the signals of an instance if its settings allow them and contain its own number.
 fn start_signals(pairs: &Pairs, now: f64, seed: u64) -> Result<Option<Signals>, String> {
-    let (own_number, initiators) = (pairs.optional::<u16>("Me")?, pairs.needed::<f64>("Balancers")?);
+    let (own_number, initiators) = (pairs.optional::<u16>("Me")?, pairs.required::<f64>("Balancers")?);
     let Some(own_number) = own_number.filter(|_| pairs.flag("Ceilings.Peers")) else { return Ok(None) };
     let members: Vec<MemberId> = (0..initiators.clamp(1.0, 65535.0) as u16).map(MemberId).collect();
     let incarnation = (now.max(0.0) * 100.0) as u32;
@@ -382,8 +382,8 @@
     match fields.name {
         "START" => {
             let seed = fields.required(0, "Seed")?;
-            let decoded = Pairs::of_text(&fields.values[1..].join(" ")).and_then(|pairs| {
-                let (settings, names) = pairs::core(&pairs)?;
+            let decoded = Pairs::from_text(&fields.values[1..].join(" ")).and_then(|pairs| {
+                let (settings, names) = pairs::core_settings(&pairs)?;
                 Ok((settings, names, start_signals(&pairs, now, seed)?))
             });
             let (mut settings, names, signals) =
