--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -880,9 +880,9 @@
         let Band { repeat, dedup_scope, .. } = &self.settings.bands[transaction.band.0];
         let repeat_harmless =
             matches!((repeat, dedup_scope), (Repeat::Repeatable, _) | (Repeat::Tagged, DedupScope::All));
-        let no_effect =
+        let safe_to_repeat =
             !transaction.shot_in_flight && (transaction.may_have_run_since.is_none() || repeat_harmless);
-        if no_effect {
+        if safe_to_repeat {
             let retry_after = if self.settings.advises_retry { self.settings.max_retry_after } else { 0.0 };
             outbox.decline(id, retry_after);
         } else {
--- a/src/types.rs
+++ b/src/types.rs
@@ -207,7 +207,7 @@
     /// Answers the client that the transaction had no effect and may be sent again after `retry_after` (0: no
     /// advice).
     fn decline(&mut self, transaction: TransactionId, retry_after: f64);
-    /// Answers the client that the transaction failed and may have had an effect.
+    /// Answers the client that the transaction failed and may have had an effect, so that a repeat may not be safe.
     fn scrap(&mut self, transaction: TransactionId);
     /// Sets a timer, which is reported by [`crate::scheduler::Scheduler::timer_fired`] with the tag.
     fn set_timer(&mut self, after: f64, tag: u64);
