--- a/crates/fleet/src/signal.rs
+++ b/crates/fleet/src/signal.rs
@@ -14,7 +14,7 @@
 //!
 //! All numbers are little endian. An initiator reports only answers that it received itself, so that none is counted
 //! twice. Each message goes to a few receivers, drawn anew each time. The bytes sent for reports are limited to
-//! [`BYTES_PER_ANSWER`] for each answer received; the reports with the most information are sent first.
+//! `BYTES_PER_ANSWER` for each answer received; the reports with the most information are sent first.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,6 +30,7 @@
 pub const MAX_SIGNAL_BYTES: usize = 256;
 /// Version of the signal format.
 pub const VERSION: u8 = 1;
+/// Bytes before the parts of a message.
 const HEADER_BYTES: usize = 9;
 const REPORT_BYTES: usize = 5;
 /// Bytes that may be sent, to all receivers together, for each answer received.
@@ -51,6 +52,7 @@
 /// Latency that an initiator observed at the node that holds a part of the data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeReport {
+    /// Part of the data that the node holds.
     pub block: BlockId,
     /// Mean latency at the node, divided by the due time.
     pub latency_ratio: f64,
@@ -223,6 +225,7 @@
 }
 
 impl Signal {
+    /// Encodes this message.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_SIGNAL_BYTES);
         out.push(VERSION);
@@ -232,6 +235,7 @@
         out
     }
 
+    /// Decodes a message.
     pub fn decode(bytes: &[u8]) -> Result<Signal, DecodeError> {
         if bytes.len() > MAX_SIGNAL_BYTES {
             return Err(DecodeError::Malformed);
@@ -315,7 +319,7 @@
     /// Messages dropped because their sender is not on the list of members.
     #[serde(rename = "unknown")]
     pub unknown_sender: u64,
-    /// Messages not sent because of [`MAX_MESSAGES_PER_SECOND`].
+    /// Messages not sent because of the limit of messages per second.
     #[serde(rename = "over")]
     pub rate_limited: u64,
     /// Node reports sent, counted once for each receiver.
@@ -388,6 +392,7 @@
 }
 
 impl Signals {
+    /// Starts the signals of an initiator at `now`.
     pub fn start(now: f64, mut config: SignalConfig) -> Signals {
         config.sends_reports &= config.message_cost == 0.0;
         let mut rng = WyRand::new_seed(config.seed ^ 0x51a);
@@ -418,6 +423,7 @@
         report_at.min(if self.config.lends { self.next_review_at } else { f64::INFINITY })
     }
 
+    /// Counters since the start, with those of lending.
     pub fn counts(&self) -> SignalCounts {
         SignalCounts { lending: self.lending.counts.clone(), ..self.counts.clone() }
     }
