--- a/crates/day/src/plan.rs
+++ b/crates/day/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd, Surge};
-use quaypath_standins::client::Ask;
+use quaypath_standins::client::PlannedTransaction;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
 }
 
 /// Every client's first try, in order of time.
-pub fn traffic(day: &Day, deployment: &Deployment) -> Vec<Ask> {
+pub fn traffic(day: &Day, deployment: &Deployment) -> Vec<PlannedTransaction> {
     let mut chance = SmallRng::seed_from_u64(day.seed);
     let shares = day.shares(deployment);
     let volumes: Vec<_> = deployment.volumes.iter().collect();
@@ -67,8 +67,8 @@
         let due = deployment.core.bands[band].due;
         let leave = day.traffic.leave.iter().find(|leave| (leave.at..leave.at + leave.lasts).contains(&at));
         let leaves = leave.filter(|leave| chance.random::<f64>() < leave.part).map(|leave| leave.after * due);
-        asks.push(Ask {
-            at,
+        asks.push(PlannedTransaction {
+            starts_at: at,
             gateway: (**id * 5 + nth % initiators) % gateways,
             volume: **id,
             band,
@@ -78,8 +78,8 @@
             blocks: 8.min(deployment.extent_blocks as u32),
             initiators,
             budget: deployment.outer_limits[band],
-            leaves,
-            retries: day
+            cancel_after: leaves,
+            retry_override: day
                 .traffic
                 .abuse
                 .iter()
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -12,11 +12,11 @@
 use quaypath_record::{Clock, Event, Writer};
 
 use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd};
-use quaypath_standins::client::{self, Clients, Tally};
+use quaypath_standins::client::{self, ClientCounts, Clients};
 use quaypath_standins::links::Links;
-use quaypath_standins::model::Figures;
+use quaypath_standins::model::ModelConfig;
 use quaypath_standins::register::Register;
-use quaypath_standins::target::{self, zone_of, Fleet, Target};
+use quaypath_standins::target::{self, zone_of, SharedData, Target};
 use rustix::process::{kill_process, Pid, Signal};
 use thiserror::Error;
 use tracing::{debug, info, warn};
@@ -63,7 +63,7 @@
 pub struct Left {
     pub books: Books,
     pub memory: Memory,
-    pub tally: Tally,
+    pub tally: ClientCounts,
     /// How often faults of links struck, by kind.
     pub struck: BTreeMap<String, u64>,
     /// Processor time of each gateway's process, seconds, and how long it ran.
@@ -128,10 +128,10 @@
         }
         let mut own = self.address;
         own.set_port(0);
-        let links = links.filter(|links| !links.members.is_empty());
+        let links = links.filter(|links| !links.member_addresses.is_empty());
         if let Some(links) = links {
             command.args(["--fleet-listen", &own.to_string()]);
-            for (member, address) in &links.members {
+            for (member, address) in &links.member_addresses {
                 command.args(["--member", &format!("{member}={address}")]);
             }
         }
@@ -160,7 +160,7 @@
                     what: format!("'{}' in place of its fleet's address", line.trim()),
                 });
             };
-            links.home(number, self.lives, talks_at);
+            links.add_process(number, self.lives, talks_at);
             self.talks_at = Some(talks_at);
         }
         self.process = Some((child, stdin, lines));
@@ -209,7 +209,7 @@
             let _ = child.kill();
             let _ = child.wait();
             if let (Some(links), Some(talks_at)) = (links, self.talks_at.take()) {
-                links.gone(self.number, talks_at);
+                links.remove_process(self.number, talks_at);
             }
             if self.twin {
                 return;
@@ -247,7 +247,7 @@
     options: &'a Options,
     record: Writer,
     register: Register,
-    fleet: Arc<Fleet>,
+    fleet: Arc<SharedData>,
     nominal: Arc<BTreeMap<u32, f64>>,
     volumes: Arc<BTreeMap<u32, u64>>,
     targets: BTreeMap<i64, Target>,
@@ -264,7 +264,7 @@
 
 impl Stage<'_> {
     fn target(&mut self, block: i64, cold: bool) -> Result<(), Error> {
-        let listener = target::listener().map_err(io("a target's port"))?;
+        let listener = target::loopback_listener().map_err(io("a target's port"))?;
         self.target_at(block, cold, listener)
     }
 
@@ -272,35 +272,35 @@
         let (fleet, core) = (&self.day.fleet, &self.deployment.core);
         let zone = zone_of(block, self.deployment.zones);
         let bands = self.deployment.rule_parameters.bands.iter();
-        let bands = bands.map(|band| target::BandRule::of(band, &zone, block)).collect();
+        let bands = bands.map(|band| target::BandRule::for_target(band, &zone, block)).collect();
         self.started += 1;
         let options = target::Options {
             block,
             zone: zone.clone(),
             cold,
             seed: self.day.seed.wrapping_mul(31).wrapping_add(self.started),
-            figures: Figures {
+            model: ModelConfig {
                 cores: fleet.cores as usize,
                 unit_time: fleet.unit_time,
-                run_part: fleet.run_part,
-                recent: 3,
-                put_off: fleet.put_off,
-                flush_every: fleet.flush_every,
-                queue: fleet.queue * fleet.cores as usize,
+                recent_extent_factor: fleet.run_part,
+                recent_extents: 3,
+                deferred_write_share: fleet.put_off,
+                flush_interval: fleet.flush_every,
+                queue_capacity: fleet.queue * fleet.cores as usize,
                 start_capacity: core.start_capacity,
-                warm_after: fleet.warm_after,
-                fall_multiple: core.overload_multiple,
-                overload_for: core.overload_window,
-                young_units: core.cold_start_units,
-                cancel_stops: fleet.cancel_stops,
+                warm_up: fleet.warm_after,
+                overload_multiple: core.overload_multiple,
+                overload_window: core.overload_window,
+                cold_start_units: core.cold_start_units,
+                cancel_stops_running: fleet.cancel_stops,
             },
             bands,
-            metering: self.deployment.metering_period,
-            nominal: self.nominal.clone(),
+            metering_period: self.deployment.metering_period,
+            nominal_rates: self.nominal.clone(),
             volumes: self.volumes.clone(),
-            takes: target::TAKES,
-            fleet: self.fleet.clone(),
-            spread: 0.4,
+            accepted_format: target::ACCEPTED_FORMAT,
+            shared: self.fleet.clone(),
+            work_sigma: 0.4,
         };
         let target = Target::start(options, listener, self.record.clone()).map_err(io("a target"))?;
         let mut blocks = self.blocks.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -308,7 +308,7 @@
         drop(blocks);
         let started = cold.then(|| self.record.clock.now());
         let notice = if cold { fleet.notice * 0.5 } else { 0.0 };
-        self.register.list(&target.node, &zone, block, NodeCondition::Ready, started, notice);
+        self.register.set_entry(&target.node, &zone, block, NodeCondition::Ready, started, notice);
         self.targets.insert(block, target);
         Ok(())
     }
@@ -323,20 +323,20 @@
             Act::Node { kind, block, size, begins } => {
                 let Some(target) = self.targets.get(block) else { return Ok(()) };
                 let (on, size, begins) = (target.node.clone(), *size, *begins);
-                target.set(|faults| match kind {
-                    FaultKind::Slow => faults.slow = if begins { size } else { 1.0 },
+                target.set_faults(|faults| match kind {
+                    FaultKind::Slow => faults.slowdown = if begins { size } else { 1.0 },
                     FaultKind::Pauses => faults.pause = if begins { size } else { 0.0 },
-                    FaultKind::FastErrors => faults.errors = if begins { size } else { 0.0 },
-                    FaultKind::LostAnswers => faults.lost = if begins { size } else { 0.0 },
-                    FaultKind::Resets => faults.resets = if begins { size } else { 0.0 },
-                    FaultKind::Refused => faults.refuse = begins,
-                    FaultKind::Partition => faults.partition = begins,
+                    FaultKind::FastErrors => faults.error_share = if begins { size } else { 0.0 },
+                    FaultKind::LostAnswers => faults.lost_share = if begins { size } else { 0.0 },
+                    FaultKind::Resets => faults.resets_per_second = if begins { size } else { 0.0 },
+                    FaultKind::Refused => faults.refuse_connections = begins,
+                    FaultKind::Partition => faults.hold_output = begins,
                     FaultKind::Neighbour => {
-                        faults.slow = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
+                        faults.slowdown = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
                     }
-                    FaultKind::HeavyTail => faults.heavy = if begins { size } else { 0.0 },
-                    FaultKind::Rogue => faults.rogue = if begins { size } else { 0.0 },
-                    FaultKind::LateReports => faults.late = if begins { size } else { 0.0 },
+                    FaultKind::HeavyTail => faults.heavy_share = if begins { size } else { 0.0 },
+                    FaultKind::Rogue => faults.violation_share = if begins { size } else { 0.0 },
+                    FaultKind::LateReports => faults.report_delay = if begins { size } else { 0.0 },
                     _ => {}
                 });
                 self.fault(*kind, on, begins);
@@ -408,7 +408,7 @@
             }
             Act::Link { kind, from, to, size, begins } => {
                 if let Some(links) = &self.links {
-                    links.set(*kind, from, to, *size, *begins);
+                    links.set_fault(*kind, from, to, *size, *begins);
                 }
                 let gateways = |ends: &std::collections::BTreeSet<LinkEnd>| {
                     let gateway = |end: &LinkEnd| match end {
@@ -431,8 +431,8 @@
             }
             Act::Register { kind, size, begins } => {
                 match kind {
-                    FaultKind::RegisterFails => self.register.fails(*begins),
-                    _ => self.register.late(if *begins { *size } else { 0.0 }),
+                    FaultKind::RegisterFails => self.register.set_failing(*begins),
+                    _ => self.register.set_delay(if *begins { *size } else { 0.0 }),
                 }
                 self.fault(*kind, "register".into(), *begins);
             }
@@ -461,7 +461,7 @@
     fn unlist(&self, block: i64, condition: NodeCondition, after: f64) {
         if let Some(target) = self.targets.get(&block) {
             let zone = zone_of(block, self.deployment.zones);
-            self.register.list(&target.node, &zone, block, condition, None, after);
+            self.register.set_entry(&target.node, &zone, block, condition, None, after);
         }
     }
 }
@@ -489,9 +489,9 @@
 ) -> Result<SocketAddr, Error> {
     let links = links.filter(|_| day.fault.iter().any(|fault| fault.kind.affects_links()));
     match links {
-        Some(links) => {
-            links.via(number, LinkEnd::Register, register.address).map_err(io("a link to the register"))
-        }
+        Some(links) => links
+            .relay_address(number, LinkEnd::Register, register.address)
+            .map_err(io("a link to the register")),
         None => Ok(register.address),
     }
 }
@@ -506,7 +506,7 @@
     fn up(day: &'a Day, deployment: &'a Deployment, options: &'a Options) -> Result<Stage<'a>, Error> {
         std::fs::create_dir_all(&options.folder).map_err(io(options.folder.display().to_string()))?;
         let record = Writer::file(&record_path(&options.folder), Clock::default())?;
-        let listener = target::listener().map_err(io("the register's port"))?;
+        let listener = target::loopback_listener().map_err(io("the register's port"))?;
         let relays = relays_nodes(day, deployment);
         let links = match &deployment.fleet {
             Some(talk) => Some(Links::start(&talk.name, day.fleet.gateways, day.seed, record.clone())),
@@ -520,9 +520,9 @@
             let block = known.lock().unwrap_or_else(std::sync::PoisonError::into_inner).get(node).copied()?;
             Some(LinkEnd::Node(block as u32))
         };
-        let via = links.as_ref().filter(|_| relays).map(|links| links.by_register(of_node));
+        let via = links.as_ref().filter(|_| relays).map(|links| links.relay_addresses(of_node));
         let mode = deployment.register.mode;
-        let register = Register::start_via(mode, listener, record.clone(), via);
+        let register = Register::start_with_addresses(mode, listener, record.clone(), via);
         let nominal =
             deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect();
         let mut stage = Stage {
@@ -611,8 +611,8 @@
             retries: day.traffic.retries,
             backoff: 0.1,
             gateways: stage.gateways.iter().map(|(number, gateway)| (*number, gateway.address)).collect(),
-            plan: asks,
-            start,
+            schedule: asks,
+            start_time: start,
         },
         record.clone(),
     );
@@ -624,17 +624,17 @@
     stage.wait_until(start, start + day.lasts);
     let longest = deployment.max_outer_limit();
     let latest = start + day.lasts + 2.0 * longest + 3.0;
-    while !clients.tally.lock().unwrap().done && record.clock.now() < latest {
+    while !clients.counts.lock().unwrap().is_done && record.clock.now() < latest {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let tally = clients.tally.lock().unwrap().clone();
-    if !tally.done {
-        warn!(open = tally.open, "clients still wait at the end of the day");
+    let tally = clients.counts.lock().unwrap().clone();
+    if !tally.is_done {
+        warn!(open = tally.outstanding, "clients still wait at the end of the day");
     }
     // What still runs at the nodes is given the time to show.
     std::thread::sleep(Duration::from_millis(200));
     drop(clients);
-    let struck = stage.links.as_ref().map(Links::struck).unwrap_or_default();
+    let struck = stage.links.as_ref().map(Links::injected_faults).unwrap_or_default();
     let processor =
         stage.gateways.iter().filter_map(|(number, gateway)| Some((*number, gateway.processor()?)));
     let processor = processor.collect();
--- a/crates/load/benches/generator.rs
+++ b/crates/load/benches/generator.rs
@@ -11,8 +11,8 @@
 use quaypath_load::schedule::{Peers, Schedule, Source};
 use quaypath_record::{Clock, Writer};
 use quaypath_settings::Loaded;
-use quaypath_standins::model::Figures;
-use quaypath_standins::target::{self, zone_of, Target, TAKES};
+use quaypath_standins::model::ModelConfig;
+use quaypath_standins::target::{self, zone_of, Target, ACCEPTED_FORMAT};
 
 fn loaded(rate: f64, lasts: f64) -> Loaded {
     let folder = std::env::temp_dir().join(format!("quaypath-bench-{}", std::process::id()));
@@ -91,30 +91,30 @@
         zone: zone.clone(),
         cold: false,
         seed: 1,
-        figures: Figures {
+        model: ModelConfig {
             cores: 64,
             unit_time: 0.0,
-            run_part: 1.0,
-            recent: 3,
-            put_off: 0.0,
-            flush_every: 1e9,
-            queue: 100_000,
+            recent_extent_factor: 1.0,
+            recent_extents: 3,
+            deferred_write_share: 0.0,
+            flush_interval: 1e9,
+            queue_capacity: 100_000,
             start_capacity: 1.0,
-            warm_after: 0.0,
-            fall_multiple: 1e9,
-            overload_for: 1e9,
-            young_units: 1e9,
-            cancel_stops: true,
+            warm_up: 0.0,
+            overload_multiple: 1e9,
+            overload_window: 1e9,
+            cold_start_units: 1e9,
+            cancel_stops_running: true,
         },
-        bands: bands.map(|band| target::BandRule::of(band, &zone, block)).collect(),
-        metering: 0.0,
-        nominal: Arc::new(BTreeMap::new()),
+        bands: bands.map(|band| target::BandRule::for_target(band, &zone, block)).collect(),
+        metering_period: 0.0,
+        nominal_rates: Arc::new(BTreeMap::new()),
         volumes: Arc::new(given.deployment.volumes.iter().map(|(id, volume)| (*id, volume.size)).collect()),
-        takes: TAKES,
-        fleet: Arc::default(),
-        spread: 0.0,
+        accepted_format: ACCEPTED_FORMAT,
+        shared: Arc::default(),
+        work_sigma: 0.0,
     };
-    Target::start(options, target::listener().unwrap(), Writer::disabled()).unwrap()
+    Target::start(options, target::loopback_listener().unwrap(), Writer::disabled()).unwrap()
 }
 
 /// One generator thread, three targets on threads of their own.
--- a/crates/load/src/net.rs
+++ b/crates/load/src/net.rs
@@ -19,7 +19,7 @@
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::{status, QUEUE_SIZE};
 use quaypath_record::{Clock, Event as Line, TransactionEnd, Writer};
-use quaypath_standins::serve::{read_all, Output};
+use quaypath_standins::runtime::{read_until_closed, OutputBuffer};
 
 use crate::account::Cell;
 use crate::generator::{Answer, Do, Generator, State as Stands};
@@ -53,7 +53,7 @@
 struct Queue {
     stream: Rc<Async<TcpStream>>,
     machine: Host,
-    output: Output,
+    output: OutputBuffer,
     /// Mark of the command at each id; 0 for none.
     asked: Vec<u64>,
     dirty: bool,
@@ -74,7 +74,7 @@
         let count = self.queues.len().saturating_sub(1);
         let found = (0..count).map(|step| 1 + (self.next + step) % count).find(|at| {
             let queue = &self.queues[*at];
-            queue.machine.has_room() && queue.output.waiting() < MOST_WAITING
+            queue.machine.has_room() && queue.output.unsent_bytes() < MOST_WAITING
         });
         self.next = found.map_or(self.next, |at| at % count);
         found
@@ -124,7 +124,7 @@
         let mut this = state.borrow_mut();
         for (machine, stream) in opened? {
             streams.push(stream.clone());
-            let (output, asked) = (Output::default(), vec![0; usize::from(QUEUE_SIZE)]);
+            let (output, asked) = (OutputBuffer::default(), vec![0; usize::from(QUEUE_SIZE)]);
             this.peers[peer].queues.push(Queue { stream, machine, output, asked, dirty: false });
         }
         this.line(peer);
@@ -133,8 +133,9 @@
     let mut readers: Option<future::BoxedLocal<io::Result<()>>> = None;
     for (number, stream) in streams.into_iter().enumerate() {
         let state = state.clone();
-        let reading =
-            async move { read_all(&stream, |bytes| state.borrow_mut().read(peer, number, bytes)).await };
+        let reading = async move {
+            read_until_closed(&stream, |bytes| state.borrow_mut().read(peer, number, bytes)).await
+        };
         readers = Some(match readers.take() {
             None => reading.boxed_local(),
             Some(others) => others.or(reading).boxed_local(),
@@ -294,7 +295,7 @@
         let queue = &mut self.peers[peer].queues[at];
         let Some((cid, mut bytes)) = queue.machine.submit(sqe, data, expected) else { return false };
         queue.asked[usize::from(cid)] = mark;
-        queue.output.add(&mut bytes);
+        queue.output.append(&mut bytes);
         queue.dirty = true;
         self.generator.sent(now, number);
         true
@@ -326,7 +327,7 @@
             if let Some((_, mut bytes)) =
                 admin.machine.submit(Sqe::abort(number as u16, cid as u16), Vec::new(), 0)
             {
-                admin.output.add(&mut bytes);
+                admin.output.append(&mut bytes);
                 admin.dirty = true;
             }
         }
@@ -337,7 +338,7 @@
         let mut events = Vec::new();
         let good = queue.machine.feed(bytes, &mut events).is_ok();
         queue.dirty |= !queue.machine.out.is_empty();
-        queue.output.add(&mut queue.machine.out);
+        queue.output.append(&mut queue.machine.out);
         for event in events {
             if let Event::Done { cid, cqe, .. } = event {
                 if number > 0 {
--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -222,14 +222,14 @@
             .map_err(|error| error.to_string())?;
         transactions += report.all.taken;
         let kinds: Vec<String> = short_day.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
-        let hung = if tally.done { "" } else { ", HUNG" };
+        let hung = if tally.is_done { "" } else { ", HUNG" };
         print_line!(
             "seed {seed}: {} taken, {}{hung}  [{}]",
             report.all.taken,
             report.verdict(),
             kinds.join(" ")
         );
-        if report.kept() && tally.done {
+        if report.kept() && tally.is_done {
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             eprintln!("record and logs: {}", folder.display());
--- a/crates/programs/src/bin/register.rs
+++ b/crates/programs/src/bin/register.rs
@@ -46,17 +46,17 @@
     let condition = match words.first().copied() {
         None => return Ok(()),
         Some("fails") => {
-            register.fails(true);
+            register.set_failing(true);
             return Ok(());
         }
         Some("works") => {
-            register.fails(false);
+            register.set_failing(false);
             return Ok(());
         }
         Some("late") => {
             let seconds =
                 words.get(1).and_then(|text| text.parse().ok()).filter(|late| (0.0..3600.0).contains(late));
-            register.late(seconds.ok_or("late: a number of seconds from 0 to 3600 is needed")?);
+            register.set_delay(seconds.ok_or("late: a number of seconds from 0 to 3600 is needed")?);
             return Ok(());
         }
         Some("ready" | "cold") => NodeCondition::Ready,
@@ -73,7 +73,7 @@
     let after =
         words.get(4).map_or(Ok(0.0), |text| text.parse::<f64>()).map_err(|error| error.to_string())?;
     let started = (words[0] == "cold").then(|| clock.now());
-    register.list(node, zone, block, condition, started, after.clamp(0.0, 3600.0));
+    register.set_entry(node, zone, block, condition, started, after.clamp(0.0, 3600.0));
     Ok(())
 }
 
--- a/crates/programs/src/bin/target.rs
+++ b/crates/programs/src/bin/target.rs
@@ -9,9 +9,11 @@
 use quaypath_programs::{exit_code, print_line, Logs};
 use quaypath_record::{Clock, Writer};
 
-use quaypath_standins::model::Figures;
-use quaypath_standins::serve::Running;
-use quaypath_standins::target::{spawn, zone_of, BandRule, Faults, Fleet, Options, TAKES};
+use quaypath_standins::model::ModelConfig;
+use quaypath_standins::runtime::Runtime;
+use quaypath_standins::target::{
+    spawn_target, zone_of, BandRule, Faults, Options, SharedData, ACCEPTED_FORMAT,
+};
 
 /// A stand-in for a storage node that takes time for its work and keeps no data. Each line of standard input sets a
 /// fault: `slow TIMES`, `pause SECONDS`, `errors PART`, `lost PART`, `heavy PART`, `resets A_SECOND`, `late SECONDS`, or
@@ -61,16 +63,16 @@
         unknown => Err(format!("{name}: '{unknown}' is neither on nor off")),
     };
     match *name {
-        "slow" => faults.slow = number()?.max(0.01),
+        "slow" => faults.slowdown = number()?.max(0.01),
         "pause" => faults.pause = number()?,
-        "errors" => faults.errors = number()?,
-        "lost" => faults.lost = number()?,
-        "heavy" => faults.heavy = number()?,
-        "resets" => faults.resets = number()?,
-        "late" => faults.late = number()?,
-        "refuse" => faults.refuse = switch()?,
-        "partition" => faults.partition = switch()?,
-        "deaf" => faults.deaf = switch()?,
+        "errors" => faults.error_share = number()?,
+        "lost" => faults.lost_share = number()?,
+        "heavy" => faults.heavy_share = number()?,
+        "resets" => faults.resets_per_second = number()?,
+        "late" => faults.report_delay = number()?,
+        "refuse" => faults.refuse_connections = switch()?,
+        "partition" => faults.hold_output = switch()?,
+        "deaf" => faults.stop_reading = switch()?,
         unknown => return Err(format!("'{unknown}' is not a fault")),
     }
     Ok(())
@@ -107,36 +109,36 @@
     print_line!("listening {}", listener.local_addr().map_err(|error| error.to_string())?);
     let (block, core) = (arguments.block, &deployment.core);
     let zone = zone_of(block, deployment.zones);
-    let bands = deployment.rule_parameters.bands.iter().map(|band| BandRule::of(band, &zone, block));
+    let bands = deployment.rule_parameters.bands.iter().map(|band| BandRule::for_target(band, &zone, block));
     let options = Options {
         block,
         zone: zone.clone(),
         cold: arguments.cold,
         seed: arguments.seed,
-        figures: Figures {
+        model: ModelConfig {
             cores: arguments.cores.max(1),
             unit_time: arguments.unit_time.max(0.0),
-            run_part: 0.5,
-            recent: 3,
-            put_off: 0.3,
-            flush_every: 2.0,
-            queue: 50 * arguments.cores.max(1),
+            recent_extent_factor: 0.5,
+            recent_extents: 3,
+            deferred_write_share: 0.3,
+            flush_interval: 2.0,
+            queue_capacity: 50 * arguments.cores.max(1),
             start_capacity: core.start_capacity,
-            warm_after: core.warm_up,
-            fall_multiple: core.overload_multiple,
-            overload_for: core.overload_window,
-            young_units: core.cold_start_units,
-            cancel_stops: true,
+            warm_up: core.warm_up,
+            overload_multiple: core.overload_multiple,
+            overload_window: core.overload_window,
+            cold_start_units: core.cold_start_units,
+            cancel_stops_running: true,
         },
         bands: bands.collect(),
-        metering: deployment.metering_period,
-        nominal: Arc::new(
+        metering_period: deployment.metering_period,
+        nominal_rates: Arc::new(
             deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect(),
         ),
         volumes: Arc::new(deployment.volumes.iter().map(|(id, volume)| (*id, volume.size)).collect()),
-        takes: TAKES,
-        fleet: Arc::<Fleet>::default(),
-        spread: 0.4,
+        accepted_format: ACCEPTED_FORMAT,
+        shared: Arc::<SharedData>::default(),
+        work_sigma: 0.4,
     };
     let (writer, faults) = (record.clone(), Arc::new(std::sync::Mutex::new(Faults::default())));
     let script_faults = faults.clone();
@@ -148,7 +150,10 @@
             tracing::error!(%error, "the record is incomplete");
         }
     });
-    Running::here(move |executor| spawn(executor, options, listener, record, faults), std::future::pending());
+    Runtime::run_here(
+        move |executor| spawn_target(executor, options, listener, record, faults),
+        std::future::pending(),
+    );
     Ok(true)
 }
 
--- a/crates/programs/tests/helper/mod.rs
+++ b/crates/programs/tests/helper/mod.rs
@@ -159,7 +159,7 @@
     }
 
     pub fn list(&self, node: SocketAddr, block: i64, condition: NodeCondition) {
-        self.register.list(&node.to_string(), "hall-0", block, condition, None, 0.0);
+        self.register.set_entry(&node.to_string(), "hall-0", block, condition, None, 0.0);
     }
 
     pub fn signal(&self, signal: Signal) {
--- a/crates/programs/tests/path.rs
+++ b/crates/programs/tests/path.rs
@@ -16,8 +16,8 @@
 use quaypath_nvme::pdu::Format;
 use quaypath_nvme::status;
 use quaypath_record::{Clock, Writer};
-use quaypath_standins::model::Figures;
-use quaypath_standins::target::{rogue, BandRule, Options, Target, TAKES};
+use quaypath_standins::model::ModelConfig;
+use quaypath_standins::target::{encode_violation, BandRule, Options, Target, ACCEPTED_FORMAT};
 use test_case::test_case;
 
 fn arrivals(target: &Peer) -> Vec<(u64, u8)> {
@@ -35,28 +35,28 @@
         zone: "hall-0".into(),
         cold: false,
         seed: 1,
-        figures: Figures {
+        model: ModelConfig {
             cores: 2,
             unit_time: 0.001,
-            run_part: 1.0,
-            recent: 0,
-            put_off: 0.0,
-            flush_every: 1.0,
-            queue: 100,
+            recent_extent_factor: 1.0,
+            recent_extents: 0,
+            deferred_write_share: 0.0,
+            flush_interval: 1.0,
+            queue_capacity: 100,
             start_capacity: 1.0,
-            warm_after: 0.0,
-            fall_multiple: 2.0,
-            overload_for: 1.0,
-            young_units: 100.0,
-            cancel_stops: true,
+            warm_up: 0.0,
+            overload_multiple: 2.0,
+            overload_window: 1.0,
+            cold_start_units: 100.0,
+            cancel_stops_running: true,
         },
         bands,
-        metering: 0.0,
-        nominal: Arc::default(),
+        metering_period: 0.0,
+        nominal_rates: Arc::default(),
         volumes: Arc::new(BTreeMap::from([(1, 1 << 20), (2, 1 << 20)])),
-        takes: TAKES,
-        fleet: Arc::default(),
-        spread: 0.0,
+        accepted_format: ACCEPTED_FORMAT,
+        shared: Arc::default(),
+        work_sigma: 0.0,
     };
     Target::start(options, listener, Writer::memory(Clock::default())).unwrap()
 }
@@ -70,7 +70,7 @@
     let ways = ways.to_vec();
     peer(move |sqe, marks| {
         let mut bytes = Vec::new();
-        ways.iter().for_each(|way| rogue(*way, sqe, &mut bytes));
+        ways.iter().for_each(|way| encode_violation(*way, sqe, &mut bytes));
         if marks.mark == 0x100 {
             Do::Raw(bytes)
         } else {
@@ -160,10 +160,10 @@
     let (gateway, mut client) = one(&shape, address);
     settled(&mut client);
     // It goes on reading, so its side of the keep alive holds; what it says does not come.
-    target.set(|faults| faults.partition = true);
+    target.set_faults(|faults| faults.hold_output = true);
     client.ask(BUY, 1, 0x200, 8);
     assert_eq!(client.io.answer().1, SCRAPPED);
-    target.set(|faults| faults.partition = false);
+    target.set_faults(|faults| faults.hold_output = false);
     settled(&mut client);
     let counts = gateway.counts();
     assert!(counts["keep_alive_lost"].as_u64().unwrap() >= 1, "{counts}");
@@ -198,7 +198,7 @@
     settled(&mut client);
     target.kill();
     let target = stand_in(TcpListener::bind(address).unwrap());
-    gateway.register.list(&target.node, "hall-0", 0, Ready, Some(Clock::default().now() - 100.0), 0.0);
+    gateway.register.set_entry(&target.node, "hall-0", 0, Ready, Some(Clock::default().now() - 100.0), 0.0);
     settled(&mut client);
     until("a purchase is settled", || {
         client.ask(BUY, 1, 0x100, 8);
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -22,13 +22,13 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::serve::{read_all, Output, Running, Switch};
+use crate::runtime::{read_until_closed, OutputBuffer, Runtime, SharedMutex};
 
 /// One first try, planned ahead.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlannedTransaction {
     /// When, seconds from the start.
-    pub at: f64,
+    pub starts_at: f64,
     pub gateway: u32,
     pub volume: u32,
     pub band: usize,
@@ -40,9 +40,9 @@
     /// How long it waits, seconds.
     pub budget: f64,
     /// Leaves after this many seconds.
-    pub leaves: Option<f64>,
+    pub cancel_after: Option<f64>,
     /// Tries and waits of its own, whatever it is advised.
-    pub retries: Option<(u32, f64)>,
+    pub retry_override: Option<(u32, f64)>,
 }
 
 #[derive(Clone, Debug)]
@@ -60,38 +60,38 @@
     /// Wait before a repeat that no answer advises, seconds.
     pub backoff: f64,
     pub gateways: BTreeMap<u32, SocketAddr>,
-    pub plan: Arc<Vec<Ask>>,
+    pub schedule: Arc<Vec<PlannedTransaction>>,
     /// When second 0 is, on the record's clock.
-    pub start: f64,
+    pub start_time: f64,
 }
 
 /// How the clients fared.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    pub asked: u64,
+pub struct ClientCounts {
+    pub commands_sent: u64,
     pub answered: u64,
     /// First tries that no gateway could be reached for.
     pub unreachable: u64,
-    pub open: u64,
+    pub outstanding: u64,
     /// The plan is through and nothing is open.
-    pub done: bool,
+    pub is_done: bool,
 }
 
 pub struct Clients {
-    pub tally: Switch<Tally>,
-    _running: Running,
+    pub counts: SharedMutex<ClientCounts>,
+    _running: Runtime,
 }
 
 impl Clients {
     pub fn start(options: Options, record: Writer) -> Clients {
-        let tally = Switch::<Tally>::default();
-        let shared = tally.clone();
-        let running = Running::start("clients", move |executor| {
+        let counts = SharedMutex::<ClientCounts>::default();
+        let shared = counts.clone();
+        let running = Runtime::start("clients", move |executor| {
             let state = State {
                 chance: SmallRng::seed_from_u64(options.seed),
                 timers: TimerWheel::new(record.clock.now()),
                 record,
-                tally: shared,
+                counts: shared,
                 queues: HashMap::new(),
                 open: HashMap::new(),
                 next_operation: 1,
@@ -106,14 +106,14 @@
             }
             executor.spawn(ask(state)).detach();
         });
-        Clients { tally, _running: running }
+        Clients { counts, _running: running }
     }
 }
 
 struct Queue {
     stream: Rc<Async<TcpStream>>,
     machine: Host,
-    output: Output,
+    output: OutputBuffer,
     /// Marks of its commands.
     asked: HashMap<u16, u64>,
 }
@@ -137,7 +137,7 @@
     record: Writer,
     chance: SmallRng,
     timers: TimerWheel<Due>,
-    tally: Arc<Mutex<Tally>>,
+    counts: Arc<Mutex<ClientCounts>>,
     /// By gateway and queue (0: admin).
     queues: HashMap<(u32, u16), Queue>,
     open: HashMap<u64, Waiting>,
@@ -169,12 +169,12 @@
     let mut streams = Vec::new();
     for (number, (machine, stream)) in (0..).zip(opened?) {
         streams.push(stream.clone());
-        let queue = Queue { stream, machine, output: Output::default(), asked: HashMap::new() };
+        let queue = Queue { stream, machine, output: OutputBuffer::default(), asked: HashMap::new() };
         state.borrow_mut().queues.insert((gateway, number), queue);
     }
     let reading = |number: u16, stream: Rc<Async<TcpStream>>| {
         let state = state.clone();
-        async move { read_all(&stream, |bytes| state.borrow_mut().read(gateway, number, bytes)).await }
+        async move { read_until_closed(&stream, |bytes| state.borrow_mut().read(gateway, number, bytes)).await }
     };
     reading(0, streams[0].clone()).or(reading(1, streams[1].clone())).await
 }
@@ -205,27 +205,33 @@
                 Due::Leave(mark) => self.leave(mark),
             }
         }
-        while self.options.plan.get(self.next_ask).is_some_and(|ask| self.options.start + ask.at <= now) {
+        while self
+            .options
+            .schedule
+            .get(self.next_ask)
+            .is_some_and(|ask| self.options.start_time + ask.starts_at <= now)
+        {
             let operation = self.next_operation;
             self.next_operation += 1;
             self.next_ask += 1;
             self.ask(operation, self.next_ask - 1, 0);
         }
-        let next = self.options.plan.get(self.next_ask).map(|ask| self.options.start + ask.at);
-        let mut tally = self.tally.lock().unwrap();
-        tally.open = self.open.len() as u64;
-        tally.done = next.is_none() && self.open.is_empty() && self.timers.is_empty();
+        let next =
+            self.options.schedule.get(self.next_ask).map(|ask| self.options.start_time + ask.starts_at);
+        let mut counts = self.counts.lock().unwrap();
+        counts.outstanding = self.open.len() as u64;
+        counts.is_done = next.is_none() && self.open.is_empty() && self.timers.is_empty();
         next.unwrap_or(f64::INFINITY).min(self.timers.next_expiry().unwrap_or(f64::INFINITY))
     }
 
     fn ask(&mut self, operation: u64, at: usize, tries: u32) {
-        let plan = self.options.plan.clone();
+        let plan = self.options.schedule.clone();
         let ask = &plan[at];
         let mark = operation << 8 | u64::from(tries);
         let writes = self.options.bands[ask.band].writes;
         let room = self.queues.get(&(ask.gateway, 1)).is_some_and(|queue| queue.machine.has_room());
         if !room {
-            self.tally.lock().unwrap().unreachable += u64::from(tries == 0);
+            self.counts.lock().unwrap().unreachable += u64::from(tries == 0);
             return self.try_again(operation, at, tries, self.options.backoff);
         }
         let opcode = if writes { opcode::WRITE } else { opcode::READ };
@@ -245,22 +251,22 @@
         let queue = self.queues.get_mut(&(ask.gateway, 1)).unwrap();
         let Some((cid, mut bytes)) = queue.machine.submit(sqe, data, expected) else { return };
         queue.asked.insert(cid, mark);
-        queue.output.add(&mut bytes);
+        queue.output.append(&mut bytes);
         let t = self.record.clock.now();
         let key = u64::from(ask.volume) << 32 | u64::from(ask.key);
         let (gateway, volume, band, units) = (ask.gateway, ask.volume, ask.band, ask.units);
         let budget = ask.budget;
         self.record.put(Line::CommandSent { t, gateway, mark, volume, band, units, key, budget });
-        self.tally.lock().unwrap().asked += 1;
+        self.counts.lock().unwrap().commands_sent += 1;
         self.open.insert(mark, Waiting { ask: at, gateway, cid, tries, left: false });
-        if let Some(leaves) = ask.leaves {
+        if let Some(leaves) = ask.cancel_after {
             self.timers.set(t + leaves, Due::Leave(mark));
         }
         self.flush(gateway, 1);
     }
 
     fn try_again(&mut self, operation: u64, at: usize, tries: u32, wait: f64) {
-        let own = self.options.plan[at].retries;
+        let own = self.options.schedule[at].retry_override;
         let wait = own.map_or(wait, |(_, wait)| wait);
         if tries < own.map_or(self.options.retries, |(retries, _)| retries).min(255) {
             let wait = wait * self.chance.random_range(0.8..1.2);
@@ -276,7 +282,7 @@
         self.record.put(Line::ClientCancelled { t: self.record.clock.now(), mark });
         if let Some(admin) = self.queues.get_mut(&(gateway, 0)) {
             if let Some((_, mut bytes)) = admin.machine.submit(Sqe::abort(1, cid), Vec::new(), 0) {
-                admin.output.add(&mut bytes);
+                admin.output.append(&mut bytes);
             }
         }
         self.flush(gateway, 0);
@@ -286,7 +292,7 @@
         let Some(queue) = self.queues.get_mut(&(gateway, number)) else { return false };
         let mut events = Vec::new();
         let good = queue.machine.feed(bytes, &mut events).is_ok();
-        queue.output.add(&mut queue.machine.out);
+        queue.output.append(&mut queue.machine.out);
         for event in events {
             if let Event::Done { cid, cqe, .. } = event {
                 self.answered(gateway, number, cid, cqe);
@@ -313,8 +319,8 @@
             _ => TransactionEnd::Scrapped,
         };
         self.record.put(Line::FinalAnswer { t, gateway, mark, end });
-        self.tally.lock().unwrap().answered += 1;
-        let band = self.options.plan[waiting.ask].band;
+        self.counts.lock().unwrap().answered += 1;
+        let band = self.options.schedule[waiting.ask].band;
         let again = match end {
             TransactionEnd::Settled => false,
             TransactionEnd::Declined => true,
@@ -337,7 +343,7 @@
             for mark in marks {
                 let Some(waiting) = self.open.remove(&mark) else { continue };
                 self.record.put(Line::ClientConnectionLost { t, gateway, mark });
-                let band = self.options.plan[waiting.ask].band;
+                let band = self.options.schedule[waiting.ask].band;
                 if self.options.bands[band].repeat == Repeat::Repeatable && !waiting.left {
                     self.try_again(mark >> 8, waiting.ask, waiting.tries, self.options.backoff);
                 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,5 +5,5 @@
 pub mod links;
 pub mod model;
 pub mod register;
-pub mod serve;
+pub mod runtime;
 pub mod target;
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -22,7 +22,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::serve::Running;
+use crate::runtime::Runtime;
 
 /// Pieces of one direction of a connection that are on their way, and their size, bytes.
 const MOST_PIECES: usize = 64;
@@ -113,10 +113,10 @@
 /// The links of a day.
 pub struct Links {
     /// Where each member's datagrams are to be sent.
-    pub members: BTreeMap<u32, SocketAddr>,
+    pub member_addresses: BTreeMap<u32, SocketAddr>,
     state: Shared,
     opens: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
-    _running: Running,
+    _running: Runtime,
 }
 
 /// What members tell is read by.
@@ -142,7 +142,7 @@
         let (opens, opened) = bounded(1024);
         let (shared, ears) =
             (state.clone(), Ears { fleet: quaypath_fleet::message::fleet_hash(fleet), record });
-        let running = Running::start("links", move |executor| {
+        let running = Runtime::start("links", move |executor| {
             let weak = Rc::downgrade(executor);
             let late = Rc::new(std::cell::Cell::new(0));
             let (meters, told) = (Meters::default(), SaidOf::default());
@@ -163,7 +163,7 @@
             executor.spawn(report(meters, ears)).detach();
             executor.spawn(open(opened, shared, weak)).detach();
         });
-        Ok(Links { members: addresses, state, opens, _running: running })
+        Ok(Links { member_addresses: addresses, state, opens, _running: running })
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
@@ -171,28 +171,28 @@
     }
 
     /// A process of this number sends from here, and takes what is sent to its number.
-    pub fn home(&self, number: u32, process: u32, address: SocketAddr) {
+    pub fn add_process(&self, number: u32, process: u32, address: SocketAddr) {
         let mut state = self.state();
         state.sources.insert(address, (number, process));
         state.homes.entry(number).or_default().push(address);
     }
 
     /// That process is no more.
-    pub fn gone(&self, number: u32, address: SocketAddr) {
+    pub fn remove_process(&self, number: u32, address: SocketAddr) {
         let mut state = self.state();
         state.sources.remove(&address);
         state.homes.entry(number).or_default().retain(|home| *home != address);
     }
 
     /// Where a gateway reaches this address, through a relay of its own.
-    pub fn via(&self, gateway: u32, to: LinkEnd, address: SocketAddr) -> io::Result<SocketAddr> {
+    pub fn relay_address(&self, gateway: u32, to: LinkEnd, address: SocketAddr) -> io::Result<SocketAddr> {
         reach(&self.state, &self.opens, gateway, to, address)
     }
 
     /// The same, for the register to tell.
-    pub fn by_register(
+    pub fn relay_addresses(
         &self, of: impl Fn(&str) -> Option<LinkEnd> + Send + Sync + 'static,
-    ) -> crate::register::Via {
+    ) -> crate::register::AddressMap {
         let (state, opens) = (self.state.clone(), self.opens.clone());
         Arc::new(move |gateway, node| {
             let reached = node.parse().ok().zip(of(node));
@@ -202,7 +202,7 @@
         })
     }
 
-    pub fn set(
+    pub fn set_fault(
         &self, kind: FaultKind, from: &BTreeSet<LinkEnd>, to: &BTreeSet<LinkEnd>, size: f64, begins: bool,
     ) {
         let on = On { kind, from: from.clone(), to: to.clone(), size };
@@ -217,7 +217,7 @@
     }
 
     /// How often each kind of fault struck.
-    pub fn struck(&self) -> BTreeMap<String, u64> {
+    pub fn injected_faults(&self) -> BTreeMap<String, u64> {
         self.state().struck.clone()
     }
 }
@@ -230,7 +230,7 @@
     if let Some(known) = state.reached.get(&(gateway, address)) {
         return Ok(*known);
     }
-    let listener = crate::target::listener()?;
+    let listener = crate::target::loopback_listener()?;
     let ours = listener.local_addr()?;
     let opened = opens.try_send((listener, LinkEnd::Gateway(gateway), to, address));
     opened.map_err(|_| io::Error::other("too many links open at once"))?;
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -3,27 +3,27 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Figures of one target. Times in seconds.
+/// Settings of one target. Times in seconds.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct ModelConfig {
     pub cores: usize,
     /// Node time of one random unit on one core.
     pub unit_time: f64,
-    pub run_part: f64,
+    pub recent_extent_factor: f64,
     /// Extents that count as just taken.
-    pub recent: usize,
+    pub recent_extents: usize,
     /// Part of a write's work that is put off, and how often it is done in one go.
-    pub put_off: f64,
-    pub flush_every: f64,
+    pub deferred_write_share: f64,
+    pub flush_interval: f64,
     /// Transactions held, those at work included.
-    pub queue: usize,
+    pub queue_capacity: usize,
     pub start_capacity: f64,
-    pub warm_after: f64,
-    pub fall_multiple: f64,
-    pub overload_for: f64,
-    pub young_units: f64,
+    pub warm_up: f64,
+    pub overload_multiple: f64,
+    pub overload_window: f64,
+    pub cold_start_units: f64,
     /// A cancel or a broken connection stops running work; waiting work is dropped either way.
-    pub cancel_stops: bool,
+    pub cancel_stops_running: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -32,25 +32,25 @@
     pub extent: u64,
     pub writes: bool,
     /// Factor on its work, drawn by the caller.
-    pub noise: f64,
-    pub what: T,
+    pub work_factor: f64,
+    pub payload: T,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
-    Held,
+pub enum Admission {
+    Accepted,
     /// The queue is full.
-    Full,
+    QueueFull,
     /// This was the push that a cold target falls over from.
-    Fell,
+    Overloaded,
     /// It lies on the floor.
     Down,
 }
 
-/// A target at work. Jobs are named by numbers that [`Node::take`] gives.
+/// A target at work. Jobs are named by numbers that [`NodeModel::submit`] gives.
 #[derive(Debug)]
-pub struct Node<T> {
-    figures: Figures,
+pub struct NodeModel<T> {
+    config: ModelConfig,
     /// 0: warm from the start.
     started: f64,
     cold: bool,
@@ -59,24 +59,24 @@
     waiting: VecDeque<(u64, Job<T>)>,
     running: BTreeMap<u64, (f64, Job<T>)>,
     recent: VecDeque<u64>,
-    put_off: f64,
+    deferred_work: f64,
     flush_at: f64,
     /// Until when no core does client work: a flush, or a scripted pause.
     stopped_until: f64,
     arrived: VecDeque<(f64, f64)>,
     arrived_units: f64,
     /// Scripted: work takes this many times as long.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Recent service time without waiting.
-    pub service: f64,
+    pub mean_service_time: f64,
 }
 
-impl<T> Node<T> {
-    pub fn new(now: f64, cold: bool, figures: Figures) -> Self {
-        let flush_at = now + figures.flush_every;
-        let service = figures.unit_time;
-        Node {
-            figures,
+impl<T> NodeModel<T> {
+    pub fn new(now: f64, cold: bool, config: ModelConfig) -> Self {
+        let flush_at = now + config.flush_interval;
+        let mean_service_time = config.unit_time;
+        NodeModel {
+            config,
             started: now,
             cold,
             down: false,
@@ -84,30 +84,30 @@
             waiting: VecDeque::new(),
             running: BTreeMap::new(),
             recent: VecDeque::new(),
-            put_off: 0.0,
+            deferred_work: 0.0,
             flush_at,
             stopped_until: now,
             arrived: VecDeque::new(),
             arrived_units: 0.0,
-            slow: 1.0,
-            service,
+            slowdown: 1.0,
+            mean_service_time,
         }
     }
 
     /// Share of its capacity that it has at this moment.
-    pub fn warmth(&self, now: f64) -> f64 {
-        if !self.cold || self.figures.warm_after <= 0.0 {
+    pub fn capacity_share(&self, now: f64) -> f64 {
+        if !self.cold || self.config.warm_up <= 0.0 {
             return 1.0;
         }
-        let part = ((now - self.started) / self.figures.warm_after).clamp(0.0, 1.0);
-        self.figures.start_capacity + (1.0 - self.figures.start_capacity) * part
+        let part = ((now - self.started) / self.config.warm_up).clamp(0.0, 1.0);
+        self.config.start_capacity + (1.0 - self.config.start_capacity) * part
     }
 
     pub fn is_down(&self) -> bool {
         self.down
     }
 
-    pub fn held(&self) -> usize {
+    pub fn outstanding(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
@@ -116,50 +116,52 @@
         self.arrived.push_back((now, units));
         self.arrived_units += units;
         while let Some((at, units)) = self.arrived.front().copied() {
-            if at > now - self.figures.overload_for {
+            if at > now - self.config.overload_window {
                 break;
             }
             self.arrived_units -= units;
             self.arrived.pop_front();
         }
-        let warmth = self.warmth(now);
-        let can = self.figures.cores as f64 / self.figures.unit_time * warmth * self.figures.overload_for;
-        warmth < 1.0 && self.arrived_units > (self.figures.fall_multiple * can).max(self.figures.young_units)
+        let capacity_share = self.capacity_share(now);
+        let can =
+            self.config.cores as f64 / self.config.unit_time * capacity_share * self.config.overload_window;
+        capacity_share < 1.0
+            && self.arrived_units > (self.config.overload_multiple * can).max(self.config.cold_start_units)
     }
 
     /// An arrival; the job's number where it is held.
-    pub fn take(&mut self, now: f64, job: Job<T>) -> (Taken, u64) {
+    pub fn submit(&mut self, now: f64, job: Job<T>) -> (Admission, u64) {
         if self.down {
-            return (Taken::Down, 0);
+            return (Admission::Down, 0);
         }
         if self.press(now, job.units) {
             self.down = true;
             self.waiting.clear();
             self.running.clear();
-            return (Taken::Fell, 0);
+            return (Admission::Overloaded, 0);
         }
-        if self.held() >= self.figures.queue {
-            return (Taken::Full, 0);
+        if self.outstanding() >= self.config.queue_capacity {
+            return (Admission::QueueFull, 0);
         }
         self.next += 1;
         self.waiting.push_back((self.next, job));
         self.begin(now);
-        (Taken::Held, self.next)
+        (Admission::Accepted, self.next)
     }
 
     fn begin(&mut self, now: f64) {
-        while self.running.len() < self.figures.cores {
+        while self.running.len() < self.config.cores {
             let Some((number, job)) = self.waiting.pop_front() else { return };
             let run = self.recent.contains(&job.extent);
             self.recent.retain(|known| *known != job.extent);
             self.recent.push_front(job.extent);
-            self.recent.truncate(self.figures.recent);
-            let work = job.units * self.figures.unit_time * job.noise;
-            let work = if run { work * self.figures.run_part } else { work };
-            let later = if job.writes { work * self.figures.put_off } else { 0.0 };
-            self.put_off += later;
-            let time = (work - later) * self.slow / self.warmth(now);
-            self.service = 0.8 * self.service + 0.2 * time;
+            self.recent.truncate(self.config.recent_extents);
+            let work = job.units * self.config.unit_time * job.work_factor;
+            let work = if run { work * self.config.recent_extent_factor } else { work };
+            let later = if job.writes { work * self.config.deferred_write_share } else { 0.0 };
+            self.deferred_work += later;
+            let time = (work - later) * self.slowdown / self.capacity_share(now);
+            self.mean_service_time = 0.8 * self.mean_service_time + 0.2 * time;
             self.running.insert(number, (now.max(self.stopped_until) + time, job));
         }
     }
@@ -172,10 +174,10 @@
         self.running.values_mut().for_each(|(done, _)| *done += shift);
     }
 
-    /// When to call [`Node::done`] next.
-    pub fn next_at(&self) -> f64 {
+    /// When to call [`NodeModel::take_completed`] next.
+    pub fn next_event_at(&self) -> f64 {
         let first = self.running.values().map(|(done, _)| *done).fold(f64::INFINITY, f64::min);
-        if self.put_off > 0.0 {
+        if self.deferred_work > 0.0 {
             first.min(self.flush_at)
         } else {
             first
@@ -183,13 +185,13 @@
     }
 
     /// Jobs that are done by now, in the order in which they were.
-    pub fn done(&mut self, now: f64) -> Vec<(u64, Job<T>)> {
+    pub fn take_completed(&mut self, now: f64) -> Vec<(u64, Job<T>)> {
         let mut all = Vec::new();
         loop {
             if now >= self.flush_at {
-                let length = self.put_off * self.slow / self.figures.cores as f64;
-                self.put_off = 0.0;
-                self.flush_at = now + self.figures.flush_every.max(0.01);
+                let length = self.deferred_work * self.slowdown / self.config.cores as f64;
+                self.deferred_work = 0.0;
+                self.flush_at = now + self.config.flush_interval.max(0.01);
                 if length > 0.0 {
                     self.pause(now, length);
                 }
@@ -210,7 +212,7 @@
             self.waiting.remove(at);
             return true;
         }
-        let stops = self.figures.cancel_stops && self.running.remove(&number).is_some();
+        let stops = self.config.cancel_stops_running && self.running.remove(&number).is_some();
         if stops {
             self.begin(now);
         }
@@ -222,79 +224,84 @@
 mod tests {
     use super::*;
 
-    fn figures() -> Figures {
-        Figures {
+    fn figures() -> ModelConfig {
+        ModelConfig {
             cores: 1,
             unit_time: 0.01,
-            run_part: 0.5,
-            recent: 2,
-            put_off: 0.0,
-            flush_every: 1.0,
-            queue: 4,
+            recent_extent_factor: 0.5,
+            recent_extents: 2,
+            deferred_write_share: 0.0,
+            flush_interval: 1.0,
+            queue_capacity: 4,
             start_capacity: 0.2,
-            warm_after: 10.0,
-            fall_multiple: 2.0,
-            overload_for: 1.0,
-            young_units: 8.0,
-            cancel_stops: true,
+            warm_up: 10.0,
+            overload_multiple: 2.0,
+            overload_window: 1.0,
+            cold_start_units: 8.0,
+            cancel_stops_running: true,
         }
     }
 
     fn job(extent: u64, writes: bool) -> Job<u64> {
-        Job { units: 1.0, extent, writes, noise: 1.0, what: extent }
+        Job { units: 1.0, extent, writes, work_factor: 1.0, payload: extent }
     }
 
     #[test]
     fn turn_of_arrival_runs_cost_less_and_the_queue_has_a_bound() {
-        let mut node = Node::new(0.0, false, figures());
-        let taken: Vec<_> = [1, 2, 1, 3, 4].map(|extent| node.take(0.0, job(extent, false)).0).into();
-        assert_eq!(taken[3..], [Taken::Held, Taken::Full]);
-        assert!(node.done(0.0099).is_empty());
-        let order: Vec<_> = [0.0101, 0.0202, 0.0253, 0.0354].map(|at| node.done(at).len()).into();
+        let mut node = NodeModel::new(0.0, false, figures());
+        let taken: Vec<_> = [1, 2, 1, 3, 4].map(|extent| node.submit(0.0, job(extent, false)).0).into();
+        assert_eq!(taken[3..], [Admission::Accepted, Admission::QueueFull]);
+        assert!(node.take_completed(0.0099).is_empty());
+        let order: Vec<_> = [0.0101, 0.0202, 0.0253, 0.0354].map(|at| node.take_completed(at).len()).into();
         assert_eq!(order, [1, 1, 1, 1]);
     }
 
     #[test]
     fn a_cold_node_falls_past_its_multiple_and_not_before() {
         // 100 units a second warm, 20 at the start: 40 within a second is the most.
-        let mut node = Node::new(0.0, true, Figures { queue: 1000, ..figures() });
-        assert!((0..40).all(|at| node.take(0.001 * at as f64, job(at, false)).0 == Taken::Held));
-        let mut last = Taken::Held;
+        let mut node = NodeModel::new(0.0, true, ModelConfig { queue_capacity: 1000, ..figures() });
+        assert!((0..40).all(|at| node.submit(0.001 * at as f64, job(at, false)).0 == Admission::Accepted));
+        let mut last = Admission::Accepted;
         for at in 0..4 {
-            last = node.take(0.05, job(at, false)).0;
-            if last == Taken::Fell {
+            last = node.submit(0.05, job(at, false)).0;
+            if last == Admission::Overloaded {
                 break;
             }
         }
-        assert_eq!(last, Taken::Fell);
-        assert_eq!(node.take(0.06, job(1, false)).0, Taken::Down);
-        let mut warm = Node::new(0.0, false, Figures { queue: 1000, ..figures() });
-        assert!((0..400).all(|at| warm.take(0.0, job(at, false)).0 == Taken::Held));
+        assert_eq!(last, Admission::Overloaded);
+        assert_eq!(node.submit(0.06, job(1, false)).0, Admission::Down);
+        let mut warm = NodeModel::new(0.0, false, ModelConfig { queue_capacity: 1000, ..figures() });
+        assert!((0..400).all(|at| warm.submit(0.0, job(at, false)).0 == Admission::Accepted));
     }
 
     #[test]
     fn put_off_work_is_done_in_one_go_and_a_pause_moves_what_runs() {
-        let mut node = Node::new(0.0, false, Figures { put_off: 0.5, flush_every: 0.02, ..figures() });
-        node.take(0.0, job(1, true));
-        assert_eq!(node.done(0.0051).len(), 1);
-        node.done(0.0201);
-        node.take(0.0202, job(2, false));
-        assert!(node.done(0.0302).is_empty(), "the flush of 5 ms comes first");
-        assert_eq!(node.done(0.0352).len(), 1);
-        node.take(0.04, job(3, false));
+        let mut node = NodeModel::new(
+            0.0,
+            false,
+            ModelConfig { deferred_write_share: 0.5, flush_interval: 0.02, ..figures() },
+        );
+        node.submit(0.0, job(1, true));
+        assert_eq!(node.take_completed(0.0051).len(), 1);
+        node.take_completed(0.0201);
+        node.submit(0.0202, job(2, false));
+        assert!(node.take_completed(0.0302).is_empty(), "the flush of 5 ms comes first");
+        assert_eq!(node.take_completed(0.0352).len(), 1);
+        node.submit(0.04, job(3, false));
         node.pause(0.045, 1.0);
-        assert!(node.done(1.049).is_empty());
-        assert_eq!(node.done(1.051).len(), 1);
+        assert!(node.take_completed(1.049).is_empty());
+        assert_eq!(node.take_completed(1.051).len(), 1);
     }
 
     #[test]
     fn a_cancel_drops_what_waits_and_stops_what_runs_only_where_it_does() {
         for stops in [true, false] {
-            let mut node = Node::new(0.0, false, Figures { cancel_stops: stops, ..figures() });
-            let (one, two) = (node.take(0.0, job(1, false)).1, node.take(0.0, job(2, false)).1);
+            let mut node =
+                NodeModel::new(0.0, false, ModelConfig { cancel_stops_running: stops, ..figures() });
+            let (one, two) = (node.submit(0.0, job(1, false)).1, node.submit(0.0, job(2, false)).1);
             assert!(node.cancel(0.001, two));
             assert_eq!(node.cancel(0.001, one), stops);
-            assert_eq!(node.done(1.0).len(), usize::from(!stops));
+            assert_eq!(node.take_completed(1.0).len(), usize::from(!stops));
         }
     }
 }
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -24,7 +24,7 @@
 use quaypath_record::{Event as Line, ListedCondition, Writer};
 use quaypath_settings::Mode;
 
-use crate::serve::{accept, gateway_of, read_all, Output, Running, Stream};
+use crate::runtime::{gateway_of, read_until_closed, serve_connections, OutputBuffer, Runtime, Stream};
 
 /// How often changes that are due are looked for, seconds.
 const LOOK: f64 = 0.01;
@@ -63,14 +63,14 @@
 }
 
 /// Where a gateway reaches a node: its number and the node's address give the address that it is told.
-pub type Via = Arc<dyn Fn(u32, &str) -> String + Send + Sync>;
+pub type AddressMap = Arc<dyn Fn(u32, &str) -> String + Send + Sync>;
 
 /// A register that runs on a thread of its own.
 pub struct Register {
     pub address: SocketAddr,
     book: Arc<Mutex<Book>>,
     record: Writer,
-    _running: Running,
+    _running: Runtime,
 }
 
 fn listed(condition: NodeCondition) -> ListedCondition {
@@ -83,18 +83,18 @@
 
 impl Register {
     pub fn start(mode: Mode, listener: TcpListener, record: Writer) -> io::Result<Register> {
-        Self::start_via(mode, listener, record, None)
+        Self::start_with_addresses(mode, listener, record, None)
     }
 
     /// As [`Register::start`]; gateways are told addresses of `via` in place of the nodes' own. The record keeps to
     /// the nodes' own.
-    pub fn start_via(
-        mode: Mode, listener: TcpListener, record: Writer, via: Option<Via>,
+    pub fn start_with_addresses(
+        mode: Mode, listener: TcpListener, record: Writer, via: Option<AddressMap>,
     ) -> io::Result<Register> {
         let address = listener.local_addr()?;
         let book = Arc::<Mutex<Book>>::default();
         let (shared, writer) = (book.clone(), record.clone());
-        let running = Running::start("register", move |executor| {
+        let running = Runtime::start("register", move |executor| {
             let listener = Async::new(listener).expect("a listener for the reactor");
             let state = State {
                 book: shared,
@@ -107,14 +107,14 @@
                 noticed: 1,
             };
             let state = Rc::new(RefCell::new(state));
-            accept(executor, listener, state.clone(), opened, serve);
+            serve_connections(executor, listener, state.clone(), opened, serve);
             executor.spawn(notice(state)).detach();
         });
         Ok(Register { address, book, record, _running: running })
     }
 
     /// The list gets this entry, `after` seconds from now. A node that started long ago has no start time.
-    pub fn list(
+    pub fn set_entry(
         &self, node: &str, zone: &str, block: i64, condition: NodeCondition, started: Option<f64>, after: f64,
     ) {
         let now = self.record.clock.now();
@@ -137,12 +137,12 @@
         self.record.put(Line::ListChanged { t: shows_at, node, condition: listed(condition) });
     }
 
-    pub fn fails(&self, fails: bool) {
+    pub fn set_failing(&self, fails: bool) {
         self.book.lock().unwrap().fails = fails;
     }
 
     /// Changes made from now on show this much later.
-    pub fn late(&self, late: f64) {
+    pub fn set_delay(&self, late: f64) {
         self.book.lock().unwrap().late = late;
     }
 }
@@ -150,7 +150,7 @@
 struct Connection {
     stream: Stream,
     machine: Controller,
-    output: Output,
+    output: OutputBuffer,
     gateway: u32,
     /// Nodes that this host was told of.
     told: BTreeSet<String>,
@@ -160,7 +160,7 @@
     book: Arc<Mutex<Book>>,
     record: Writer,
     mode: Mode,
-    via: Option<Via>,
+    via: Option<AddressMap>,
     connections: BTreeMap<u64, Connection>,
     associations: Associations,
     next: u64,
@@ -178,13 +178,13 @@
     }
     let number = this.next;
     this.next += 1;
-    let (machine, output, told) = (Controller::default(), Output::default(), BTreeSet::new());
+    let (machine, output, told) = (Controller::default(), OutputBuffer::default(), BTreeSet::new());
     this.connections.insert(number, Connection { stream, machine, output, gateway: 0, told });
     Some(number)
 }
 
 async fn serve(state: Shared, number: u64, stream: Stream) {
-    let _ = read_all(&stream, |bytes| state.borrow_mut().read(number, bytes)).await;
+    let _ = read_until_closed(&stream, |bytes| state.borrow_mut().read(number, bytes)).await;
     state.borrow_mut().close(number);
 }
 
@@ -202,7 +202,7 @@
     now: f64,
     /// Which gateway it is shown to, and where that one reaches nodes.
     to: u32,
-    via: Option<Via>,
+    via: Option<AddressMap>,
 }
 
 impl View for Face {
@@ -346,7 +346,7 @@
 
     fn flush(&mut self, number: u64) -> bool {
         let Some(connection) = self.connections.get_mut(&number) else { return false };
-        connection.output.add(&mut connection.machine.out);
+        connection.output.append(&mut connection.machine.out);
         connection.output.flush(connection.stream.get_ref()).is_ok()
     }
 
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/runtime.rs
@@ -15,13 +15,13 @@
 use futures_lite::future::yield_now;
 
 /// A running stand-in. Dropping it ends it: its sockets are closed at once, as a killed process's are.
-pub struct Running {
+pub struct Runtime {
     /// Dropped to end it.
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl Runtime {
     /// Starts a thread that runs what `make` spawns on its executor until it is told to end.
     pub fn start(name: &str, make: impl FnOnce(&Rc<LocalExecutor<'static>>) + Send + 'static) -> Self {
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -31,18 +31,18 @@
             let _ = async_io::block_on(executor.run(stopped.recv()));
         };
         let thread = std::thread::Builder::new().name(name.into()).spawn(run).expect("a thread");
-        Running { stop: Some(stop), thread: Some(thread) }
+        Runtime { stop: Some(stop), thread: Some(thread) }
     }
 
     /// Runs on this thread until `until` is done.
-    pub fn here(make: impl FnOnce(&Rc<LocalExecutor<'static>>), until: impl Future<Output = ()>) {
+    pub fn run_here(make: impl FnOnce(&Rc<LocalExecutor<'static>>), until: impl Future<Output = ()>) {
         let executor = Rc::new(LocalExecutor::new());
         make(&executor);
         async_io::block_on(executor.run(until));
     }
 }
 
-impl Drop for Running {
+impl Drop for Runtime {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
@@ -53,13 +53,13 @@
 
 /// Output of one connection: bytes pile up to a bound and leave as the kernel takes them.
 #[derive(Default)]
-pub struct Output {
+pub struct OutputBuffer {
     bytes: Vec<u8>,
     sent: usize,
 }
 
-impl Output {
-    pub fn add(&mut self, bytes: &mut Vec<u8>) {
+impl OutputBuffer {
+    pub fn append(&mut self, bytes: &mut Vec<u8>) {
         if self.sent == self.bytes.len() {
             self.bytes.clear();
             self.sent = 0;
@@ -67,7 +67,7 @@
         self.bytes.append(bytes);
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.bytes.len() - self.sent
     }
 
@@ -91,7 +91,7 @@
 
 /// Serves every connection that comes, each in a task of its own; what `opened` gives no number is closed. Ends with
 /// the executor, which it does not keep alive.
-pub fn accept<S: 'static, F: Future<Output = ()> + 'static>(
+pub fn serve_connections<S: 'static, F: Future<Output = ()> + 'static>(
     executor: &Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, state: Rc<RefCell<S>>,
     opened: fn(&Rc<RefCell<S>>, Stream) -> Option<u64>, serve: fn(Rc<RefCell<S>>, u64, Stream) -> F,
 ) {
@@ -118,7 +118,9 @@
 }
 
 /// Reads until the peer closes or `take` says that it is enough.
-pub async fn read_all(stream: &Async<TcpStream>, mut take: impl FnMut(&[u8]) -> bool) -> io::Result<()> {
+pub async fn read_until_closed(
+    stream: &Async<TcpStream>, mut take: impl FnMut(&[u8]) -> bool,
+) -> io::Result<()> {
     let buffer = Rc::new(RefCell::new(vec![0; 64 << 10]));
     loop {
         let read = {
@@ -141,4 +143,4 @@
 }
 
 /// Shared with a running stand-in and changed from outside, by scripts.
-pub type Switch<T> = Arc<std::sync::Mutex<T>>;
+pub type SharedMutex<T> = Arc<std::sync::Mutex<T>>;
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -24,60 +24,62 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 
-use crate::model::{Figures, Job, Node, Taken};
-use crate::serve::{accept, gateway_of, read_all, Output, Running, Stream, Switch};
+use crate::model::{Admission, Job, ModelConfig, NodeModel};
+use crate::runtime::{
+    gateway_of, read_until_closed, serve_connections, OutputBuffer, Runtime, SharedMutex, Stream,
+};
 
 /// What a target agrees to: any digests, data anywhere.
-pub const TAKES: Format = Format { header_digest: true, data_digest: true, align: 0 };
+pub const ACCEPTED_FORMAT: Format = Format { header_digest: true, data_digest: true, align: 0 };
 /// Connections that a target accepts.
 const MOST_CONNECTIONS: usize = 1024;
-/// Output that a connection may owe before it is closed, bytes.
+/// OutputBuffer that a connection may owe before it is closed, bytes.
 const MOST_OUTPUT: usize = 64 << 20;
 
 /// Faults of one target, switched while it runs.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    pub slow: f64,
+    pub slowdown: f64,
     /// Length of a pause, every two seconds.
     pub pause: f64,
-    pub errors: f64,
-    pub lost: f64,
+    pub error_share: f64,
+    pub lost_share: f64,
     /// Resets of one connection, a second.
-    pub resets: f64,
-    pub refuse: bool,
+    pub resets_per_second: f64,
+    pub refuse_connections: bool,
     /// What it sends is held back; it goes on reading.
-    pub partition: bool,
+    pub hold_output: bool,
     /// Does not read its sockets: what is sent to it stays in the kernels.
-    pub deaf: bool,
+    pub stop_reading: bool,
     /// Share of transactions that take ten times their work.
-    pub heavy: f64,
+    pub heavy_share: f64,
     /// Share of answers that go with bytes that break the protocol.
-    pub rogue: f64,
-    /// Figures in answers are this many seconds old.
-    pub late: f64,
+    pub violation_share: f64,
+    /// ModelConfig in answers are this many seconds old.
+    pub report_delay: f64,
 }
 
 impl Default for Faults {
     fn default() -> Self {
         Faults {
-            slow: 1.0,
+            slowdown: 1.0,
             pause: 0.0,
-            errors: 0.0,
-            lost: 0.0,
-            resets: 0.0,
-            refuse: false,
-            partition: false,
-            deaf: false,
-            heavy: 0.0,
-            rogue: 0.0,
-            late: 0.0,
+            error_share: 0.0,
+            lost_share: 0.0,
+            resets_per_second: 0.0,
+            refuse_connections: false,
+            hold_output: false,
+            stop_reading: false,
+            heavy_share: 0.0,
+            violation_share: 0.0,
+            report_delay: 0.0,
         }
     }
 }
 
 /// What the targets of one fleet share: tags by group, and the meter of use.
 #[derive(Default)]
-pub struct Fleet {
+pub struct SharedData {
     /// When an operation with a tag took effect, by group and operation.
     tags: Mutex<HashMap<(String, u64), f64>>,
     /// Units of each volume in the present and the last finished period.
@@ -91,7 +93,7 @@
 /// Pages that a fleet keeps, 256 MiB; beyond them writes are refused.
 const MOST_PAGES: usize = 65536;
 
-impl Fleet {
+impl SharedData {
     /// True where the operation is new to its group; remembered for `window` seconds.
     fn first(&self, now: f64, group: &str, operation: u64, window: f64) -> bool {
         let mut tags = self.tags.lock().unwrap();
@@ -165,7 +167,7 @@
 
 impl BandRule {
     /// What a rule of the deployment means to the target that holds `block` in `zone`.
-    pub fn of(band: &Band, zone: &str, block: i64) -> BandRule {
+    pub fn for_target(band: &Band, zone: &str, block: i64) -> BandRule {
         let group = match band.dedup_scope {
             DedupScope::All => "all".to_string(),
             DedupScope::Zone => zone.to_string(),
@@ -186,37 +188,37 @@
     pub zone: String,
     pub cold: bool,
     pub seed: u64,
-    pub figures: Figures,
+    pub model: ModelConfig,
     pub bands: Vec<BandRule>,
     /// Period of the use figures, seconds, and nominal rate of each volume; 0: no meter.
-    pub metering: f64,
-    pub nominal: Arc<BTreeMap<u32, f64>>,
+    pub metering_period: f64,
+    pub nominal_rates: Arc<BTreeMap<u32, f64>>,
     /// Volumes and their sizes in logical blocks.
     pub volumes: Arc<BTreeMap<u32, u64>>,
     /// Digests taken where they are offered, alignment asked for.
-    pub takes: Format,
-    pub fleet: Arc<Fleet>,
+    pub accepted_format: Format,
+    pub shared: Arc<SharedData>,
     /// Spread of the work of equal transactions, as the sigma of a lognormal.
-    pub spread: f64,
+    pub work_sigma: f64,
 }
 
 /// A target that runs on a thread of its own.
 pub struct Target {
     pub node: String,
-    pub faults: Switch<Faults>,
+    pub faults: SharedMutex<Faults>,
     record: Writer,
-    running: Option<Running>,
+    running: Option<Runtime>,
 }
 
 impl Target {
     pub fn start(options: Options, listener: TcpListener, record: Writer) -> io::Result<Target> {
         let node = listener.local_addr()?.to_string();
-        let faults = Switch::<Faults>::default();
+        let faults = SharedMutex::<Faults>::default();
         let (zone, block, cold) = (options.zone.clone(), options.block, options.cold);
         record.put(Line::NodeStarted { t: record.clock.now(), node: node.clone(), block, zone, cold });
         let (switch, writer) = (faults.clone(), record.clone());
-        let running = Running::start(&format!("target-{block}"), move |executor| {
-            spawn(executor, options, listener, writer, switch);
+        let running = Runtime::start(&format!("target-{block}"), move |executor| {
+            spawn_target(executor, options, listener, writer, switch);
         });
         Ok(Target { node, faults, record, running: Some(running) })
     }
@@ -228,7 +230,7 @@
         }
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults.lock().unwrap());
     }
 }
@@ -252,7 +254,7 @@
 struct Connection {
     stream: Stream,
     machine: Controller,
-    output: Output,
+    output: OutputBuffer,
     gateway: u32,
     /// Jobs by command id.
     jobs: HashMap<u16, u64>,
@@ -262,15 +264,15 @@
     options: Options,
     name: String,
     record: Writer,
-    faults: Switch<Faults>,
-    node: Node<Shot>,
+    faults: SharedMutex<Faults>,
+    node: NodeModel<Shot>,
     chance: SmallRng,
     connections: HashMap<u64, Connection>,
     next: u64,
     associations: Associations,
     /// By gateway and volume: units served to others since the last answer.
     others: HashMap<(u32, u32), f64>,
-    /// Figures as they were told, for late reports.
+    /// ModelConfig as they were told, for late reports.
     reports: std::collections::VecDeque<(f64, f64)>,
     pause_at: f64,
     reset_at: f64,
@@ -280,15 +282,15 @@
 type Shared = Rc<RefCell<State>>;
 
 /// Puts a target's tasks on an executor; the listener decides its name.
-pub fn spawn(
+pub fn spawn_target(
     executor: &Rc<LocalExecutor<'static>>, options: Options, listener: TcpListener, record: Writer,
-    faults: Switch<Faults>,
+    faults: SharedMutex<Faults>,
 ) {
     let listener = Async::new(listener).expect("a listener for the reactor");
     let name = listener.get_ref().local_addr().expect("a bound listener").to_string();
     let now = record.clock.now();
     let state = State {
-        node: Node::new(now, options.cold, options.figures.clone()),
+        node: NodeModel::new(now, options.cold, options.model.clone()),
         chance: SmallRng::seed_from_u64(options.seed),
         name,
         record,
@@ -304,14 +306,14 @@
         wake: Rc::default(),
     };
     let state = Rc::new(RefCell::new(state));
-    accept(executor, listener, state.clone(), opened, serve);
+    serve_connections(executor, listener, state.clone(), opened, serve);
     executor.spawn(work(state)).detach();
 }
 
 /// A connection that the listener gave; none where a fault or the bound refuses it.
 fn opened(state: &Shared, stream: Stream) -> Option<u64> {
     let mut this = state.borrow_mut();
-    let refuse = this.faults.lock().unwrap().refuse;
+    let refuse = this.faults.lock().unwrap().refuse_connections;
     if refuse || this.connections.len() >= MOST_CONNECTIONS {
         return None;
     }
@@ -319,8 +321,8 @@
     this.next += 1;
     let connection = Connection {
         stream,
-        machine: Controller::taking(this.options.takes),
-        output: Output::default(),
+        machine: Controller::taking(this.options.accepted_format),
+        output: OutputBuffer::default(),
         gateway: 0,
         jobs: HashMap::new(),
     };
@@ -332,13 +334,13 @@
     let faults = state.borrow().faults.clone();
     loop {
         // Deaf: the kernels hold what is sent.
-        while faults.lock().unwrap().deaf {
+        while faults.lock().unwrap().stop_reading {
             Timer::after(Duration::from_millis(5)).await;
         }
         let mut went_deaf = false;
-        let ended = read_all(&stream, |bytes| {
+        let ended = read_until_closed(&stream, |bytes| {
             let more = state.borrow_mut().read(number, bytes);
-            went_deaf = more && faults.lock().unwrap().deaf;
+            went_deaf = more && faults.lock().unwrap().stop_reading;
             more && !went_deaf
         })
         .await;
@@ -427,36 +429,36 @@
         let band = usize::from(marks.band.saturating_sub(1));
         self.record.put(Line::ShotArrived { t: now, node, gateway, mark, shot, volume, units, band });
         let faults = self.faults.lock().unwrap().clone();
-        if faults.errors > 0.0 && self.chance.random::<f64>() < faults.errors {
+        if faults.error_share > 0.0 && self.chance.random::<f64>() < faults.error_share {
             self.ended(gateway, &marks, ShotEnd::Failed);
             let cqe = Cqe { cid: sqe.cid, status: status::INTERNAL_ERROR, ..Cqe::default() };
             return self.respond(number, cqe, &[]);
         }
-        let noise = LogNormal::new(0.0, self.options.spread.max(0.0)).expect("a finite spread");
-        let heavy = faults.heavy > 0.0 && self.chance.random::<f64>() < faults.heavy;
+        let noise = LogNormal::new(0.0, self.options.work_sigma.max(0.0)).expect("a finite spread");
+        let heavy = faults.heavy_share > 0.0 && self.chance.random::<f64>() < faults.heavy_share;
         let job = Job {
             units: f64::from(units),
             extent: u64::from(sqe.nsid) << 32 | u64::from(marks.key),
             writes: matches!(sqe.opcode, opcode::WRITE | opcode::WRITE_ZEROES),
-            noise: noise.sample(&mut self.chance) * if heavy { 10.0 } else { 1.0 },
-            what: Shot { connection: number, sqe, marks, gateway, data },
+            work_factor: noise.sample(&mut self.chance) * if heavy { 10.0 } else { 1.0 },
+            payload: Shot { connection: number, sqe, marks, gateway, data },
         };
-        match self.node.take(now, job) {
-            (Taken::Held, job) => {
+        match self.node.submit(now, job) {
+            (Admission::Accepted, job) => {
                 self.connections.get_mut(&number).unwrap().jobs.insert(sqe.cid, job);
                 self.wake.notify();
             }
-            (Taken::Full, _) => {
+            (Admission::QueueFull, _) => {
                 self.ended(gateway, &marks, ShotEnd::Refused);
                 let cqe = Cqe { cid: sqe.cid, status: status::FULL, ..Cqe::default() };
                 self.respond(number, cqe, &[]);
             }
-            (Taken::Fell, _) => {
+            (Admission::Overloaded, _) => {
                 self.record.put(Line::NodeOverloaded { t: now, node: self.name.clone() });
                 let all: Vec<u64> = self.connections.keys().copied().collect();
                 all.into_iter().for_each(|number| self.close(number));
             }
-            (Taken::Down, _) => {}
+            (Admission::Down, _) => {}
         }
     }
 
@@ -529,13 +531,13 @@
     fn work(&mut self) -> f64 {
         let now = self.now();
         let faults = self.faults.lock().unwrap().clone();
-        self.node.slow = faults.slow;
+        self.node.slowdown = faults.slowdown;
         if faults.pause > 0.0 && now >= self.pause_at {
             self.node.pause(now, faults.pause);
             self.pause_at = now + 2.0;
         }
-        if faults.resets > 0.0 && now >= self.reset_at {
-            self.reset_at = now + 1.0 / faults.resets;
+        if faults.resets_per_second > 0.0 && now >= self.reset_at {
+            self.reset_at = now + 1.0 / faults.resets_per_second;
             let mut all: Vec<u64> = self.connections.keys().copied().collect();
             all.sort_unstable();
             if !all.is_empty() {
@@ -546,31 +548,31 @@
         for number in self.associations.lost(now) {
             self.close(number);
         }
-        if !faults.partition {
+        if !faults.hold_output {
             let owing: Vec<u64> = self
                 .connections
                 .iter()
-                .filter(|(_, one)| one.output.waiting() > 0)
+                .filter(|(_, one)| one.output.unsent_bytes() > 0)
                 .map(|(at, _)| *at)
                 .collect();
             owing.into_iter().for_each(|number| self.flush(number));
         }
-        for (_, job) in self.node.done(now) {
+        for (_, job) in self.node.take_completed(now) {
             self.finish(now, job, &faults);
         }
-        self.node.next_at()
+        self.node.next_event_at()
     }
 
     fn finish(&mut self, now: f64, job: Job<Shot>, faults: &Faults) {
-        let Shot { connection: number, sqe, marks, gateway, data } = job.what;
+        let Shot { connection: number, sqe, marks, gateway, data } = job.payload;
         let (mark, node) = (marks.mark, self.name.clone());
         let band = self.options.bands.get(usize::from(marks.band.saturating_sub(1)));
         // The client's tries of one operation share all but the last byte; another host's marks are its own.
         let operation = u64::from(marks.host) << 40 ^ mark >> 8;
         let tagged = band.and_then(|band| band.tagged.as_ref());
         let new =
-            tagged.is_none_or(|(group, window)| self.options.fleet.first(now, group, operation, *window));
-        let (length, fleet) = (sqe.length(), self.options.fleet.clone());
+            tagged.is_none_or(|(group, window)| self.options.shared.first(now, group, operation, *window));
+        let (length, fleet) = (sqe.length(), self.options.shared.clone());
         let mut brought = Vec::new();
         let status = match sqe.opcode {
             opcode::READ => {
@@ -595,30 +597,34 @@
             }
         }
         let others = self.others.insert((gateway, sqe.nsid), 0.0).unwrap_or(0.0);
-        self.reports.push_back((now, self.node.service));
-        while self.reports.len() > 1 && self.reports[1].0 <= now - faults.late {
+        self.reports.push_back((now, self.node.mean_service_time));
+        while self.reports.len() > 1 && self.reports[1].0 <= now - faults.report_delay {
             self.reports.pop_front();
         }
         let latency = self.reports.front().map_or(0.0, |(_, service)| *service);
         let mut told = Told { latency, used: 0, others: others.round() as u32 };
-        if self.options.metering > 0.0 {
-            let used =
-                self.options.fleet.meter(now - faults.late, sqe.nsid, job.units, self.options.metering);
-            let nominal = self.options.nominal.get(&sqe.nsid).copied().unwrap_or(1.0).max(1e-9);
+        if self.options.metering_period > 0.0 {
+            let used = self.options.shared.meter(
+                now - faults.report_delay,
+                sqe.nsid,
+                job.units,
+                self.options.metering_period,
+            );
+            let nominal = self.options.nominal_rates.get(&sqe.nsid).copied().unwrap_or(1.0).max(1e-9);
             told.used = used.map_or(0, |used| 1 + (100.0 * used / nominal).min(60000.0) as u16);
         }
         let Some(connection) = self.connections.get_mut(&number) else { return };
         if connection.jobs.remove(&sqe.cid).is_none() {
             return;
         }
-        if faults.lost > 0.0 && self.chance.random::<f64>() < faults.lost {
+        if faults.lost_share > 0.0 && self.chance.random::<f64>() < faults.lost_share {
             return self.ended(gateway, &marks, ShotEnd::Lost);
         }
         self.ended(gateway, &marks, ShotEnd::Answered);
-        if faults.rogue > 0.0 && self.chance.random::<f64>() < faults.rogue {
+        if faults.violation_share > 0.0 && self.chance.random::<f64>() < faults.violation_share {
             let way = self.chance.random_range(0..6);
             let connection = self.connections.get_mut(&number).unwrap();
-            rogue(way, &sqe, &mut connection.machine.out);
+            encode_violation(way, &sqe, &mut connection.machine.out);
         }
         let mut cqe = Cqe { cid: sqe.cid, status, ..Cqe::default() };
         told.put(&mut cqe);
@@ -633,10 +639,10 @@
     }
 
     fn flush(&mut self, number: u64) {
-        let partition = self.faults.lock().unwrap().partition;
+        let partition = self.faults.lock().unwrap().hold_output;
         let Some(connection) = self.connections.get_mut(&number) else { return };
-        connection.output.add(&mut connection.machine.out);
-        if connection.output.waiting() > MOST_OUTPUT {
+        connection.output.append(&mut connection.machine.out);
+        if connection.output.unsent_bytes() > MOST_OUTPUT {
             return self.close(number);
         }
         if partition {
@@ -695,7 +701,7 @@
 }
 
 /// Bytes that no controller may send, in one of six ways.
-pub fn rogue(way: u32, sqe: &Sqe, out: &mut Vec<u8>) {
+pub fn encode_violation(way: u32, sqe: &Sqe, out: &mut Vec<u8>) {
     let cid = sqe.cid;
     let data = |length: usize| {
         Pdu::C2hData(DataPart {
@@ -725,6 +731,6 @@
 }
 
 /// A listener on an ephemeral loopback port.
-pub fn listener() -> io::Result<TcpListener> {
+pub fn loopback_listener() -> io::Result<TcpListener> {
     TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))
 }
