--- a/crates/day/src/told.rs
+++ b/crates/day/src/fleet_report.rs
@@ -11,17 +11,17 @@
 const DONE_WITHIN: f64 = 5.0;
 
 /// The figures that a deployment's fleet is judged by; none where initiators do not talk.
-pub fn book(deployment: &Deployment, transit: f64) -> Option<Parameters> {
-    let talk = deployment.fleet.as_ref()?;
+pub fn rule_parameters(deployment: &Deployment, transit: f64) -> Option<Parameters> {
+    let settings = deployment.fleet.as_ref()?;
     Some(Parameters {
-        duty_period: talk.probe_every,
-        window: talk.window,
-        done_within: DONE_WITHIN * talk.probe_every,
-        done_at_worst: 2.0 * DONE_WITHIN * talk.probe_every,
-        settle_time: quaypath_fleet::config::convergence_time(talk.period, talk.member.len()),
+        duty_period: settings.probe_every,
+        window: settings.window,
+        done_within: DONE_WITHIN * settings.probe_every,
+        done_at_worst: 2.0 * DONE_WITHIN * settings.probe_every,
+        settle_time: quaypath_fleet::config::convergence_time(settings.period, settings.member.len()),
         max_bytes_per_second: quaypath_fleet::config::max_bytes_per_second(
-            talk.period,
-            usize::from(talk.helpers),
+            settings.period,
+            usize::from(settings.helpers),
         ),
         longest_datagram: quaypath_fleet::message::MAX_DATAGRAM_BYTES as u64,
         transit,
@@ -29,26 +29,32 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Told {
+pub struct FleetReport {
     /// Deaths that were told of, by one member each; from the kill, seconds.
-    pub detected: usize,
+    #[serde(rename = "detected")]
+    pub deaths_detected: usize,
     pub detect_p50: f64,
     pub detect_p99: f64,
     /// Times that a member told of another's death while that one was up.
     pub false_deaths: usize,
     pub probes: usize,
     /// Longest time between two probes of one part of the data, seconds.
-    pub longest_break: f64,
+    #[serde(rename = "longest_break")]
+    pub longest_probe_gap: f64,
     /// What one process sends, on average and in its busiest second; the longest datagram.
-    pub datagrams_a_second: f64,
-    pub bytes_a_second: f64,
-    pub most_bytes_a_second: f64,
-    pub longest: u64,
+    #[serde(rename = "datagrams_a_second")]
+    pub datagrams_per_second: f64,
+    #[serde(rename = "bytes_a_second")]
+    pub bytes_per_second: f64,
+    #[serde(rename = "most_bytes_a_second")]
+    pub max_bytes_per_second: f64,
+    #[serde(rename = "longest")]
+    pub longest_datagram: u64,
 }
 
 /// Sums up a record in order of time.
-pub fn told(events: &[Event]) -> Told {
-    let mut told = Told::default();
+pub fn from_events(events: &[Event]) -> FleetReport {
+    let mut report = FleetReport::default();
     let mut killed: BTreeMap<u32, f64> = BTreeMap::new();
     let mut up: BTreeSet<u32> = BTreeSet::new();
     let mut held: BTreeMap<(u32, u32), bool> = BTreeMap::new();
@@ -73,22 +79,23 @@
                         }
                         match killed.get(other) {
                             Some(at) => detected.push(t - at),
-                            None => told.false_deaths += usize::from(up.contains(other)),
+                            None => report.false_deaths += usize::from(up.contains(other)),
                         }
                     }
                 }
             }
             Event::NodeStarted { node, block, .. } => drop(blocks.insert(node, *block)),
             Event::NodeProbed { t, node, .. } => {
-                told.probes += 1;
+                report.probes += 1;
                 let before = blocks.get(node).and_then(|block| probed.insert(*block, *t));
-                told.longest_break = before.map_or(told.longest_break, |at| told.longest_break.max(t - at));
+                report.longest_probe_gap =
+                    before.map_or(report.longest_probe_gap, |at| report.longest_probe_gap.max(t - at));
             }
             Event::MemberTraffic { seconds, datagrams, bytes, longest, .. } => {
                 sums = (sums.0 + seconds, sums.1 + datagrams, sums.2 + bytes);
                 let rate = *bytes as f64 / seconds.max(0.5);
-                told.most_bytes_a_second = told.most_bytes_a_second.max(rate);
-                told.longest = told.longest.max(*longest);
+                report.max_bytes_per_second = report.max_bytes_per_second.max(rate);
+                report.longest_datagram = report.longest_datagram.max(*longest);
             }
             _ => {}
         }
@@ -98,27 +105,28 @@
         let nth = (detected.len() as f64 * part) as usize;
         detected.get(nth.min(detected.len().saturating_sub(1))).copied().unwrap_or(0.0)
     };
-    (told.detected, told.detect_p50, told.detect_p99) = (detected.len(), at(0.5), at(0.99));
+    (report.deaths_detected, report.detect_p50, report.detect_p99) = (detected.len(), at(0.5), at(0.99));
     let seconds = f64::max(sums.0, 1e-9);
-    (told.datagrams_a_second, told.bytes_a_second) = (sums.1 as f64 / seconds, sums.2 as f64 / seconds);
-    told
+    (report.datagrams_per_second, report.bytes_per_second) =
+        (sums.1 as f64 / seconds, sums.2 as f64 / seconds);
+    report
 }
 
-impl Told {
+impl FleetReport {
     /// One line for people.
     pub fn line(&self) -> String {
         format!(
             "fleet: {} deaths told, p50 {:.1} s, p99 {:.1} s; {} false; {} probes; a process sends {:.1} datagrams, {:.0} \
              bytes a second, {:.0} at most, {} in one",
-            self.detected,
+            self.deaths_detected,
             self.detect_p50,
             self.detect_p99,
             self.false_deaths,
             self.probes,
-            self.datagrams_a_second,
-            self.bytes_a_second,
-            self.most_bytes_a_second,
-            self.longest
+            self.datagrams_per_second,
+            self.bytes_per_second,
+            self.max_bytes_per_second,
+            self.longest_datagram
         )
     }
 }
--- a/crates/day/src/plan.rs
+++ b/crates/day/src/plan.rs
@@ -94,7 +94,7 @@
 
 /// One step of the day's script.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A fault of a node begins or ends; by block.
     Node {
         kind: FaultKind,
@@ -172,7 +172,7 @@
 }
 
 /// The day's troubles in order of time, drawn by its seed.
-pub fn script(day: &Day, deployment: &Deployment) -> Vec<(f64, Act)> {
+pub fn script(day: &Day, deployment: &Deployment) -> Vec<(f64, Action)> {
     let mut chance = SmallRng::seed_from_u64(day.seed ^ 0x5eed);
     let mut acts = Vec::new();
     let mut pick = |count: u32, part: f64, one: Option<u32>| -> Vec<u32> {
@@ -189,21 +189,24 @@
         let (kind, size) = (fault.kind, fault.size);
         match kind {
             FaultKind::RegisterFails | FaultKind::RegisterLate => {
-                acts.push((at, Act::Register { kind, size, begins: true }));
-                acts.push((ends, Act::Register { kind, size, begins: false }));
+                acts.push((at, Action::Register { kind, size, begins: true }));
+                acts.push((ends, Action::Register { kind, size, begins: false }));
             }
             FaultKind::LateReports => {
                 for block in 0..i64::from(day.fleet.nodes) {
-                    acts.push((at, Act::Node { kind, block, size, begins: true }));
-                    acts.push((ends, Act::Node { kind, block, size, begins: false }));
+                    acts.push((at, Action::Node { kind, block, size, begins: true }));
+                    acts.push((ends, Action::Node { kind, block, size, begins: false }));
                 }
             }
             FaultKind::Neighbour => {
                 for block in pick(day.fleet.nodes, fault.part, fault.node) {
                     let (block, mut from) = (i64::from(block), at);
                     while from < ends {
-                        acts.push((from, Act::Node { kind, block, size, begins: true }));
-                        acts.push(((from + 2.0).min(ends), Act::Node { kind, block, size, begins: false }));
+                        acts.push((from, Action::Node { kind, block, size, begins: true }));
+                        acts.push((
+                            (from + 2.0).min(ends),
+                            Action::Node { kind, block, size, begins: false },
+                        ));
                         from += 4.0;
                     }
                 }
@@ -211,46 +214,46 @@
             kind if kind.affects_links() => {
                 // Checked when the day was loaded.
                 let Ok((from, to)) = day.link_ends(deployment, fault) else { continue };
-                let link = |begins| Act::Link { kind, from: from.clone(), to: to.clone(), size, begins };
+                let link = |begins| Action::Link { kind, from: from.clone(), to: to.clone(), size, begins };
                 acts.push((at, link(true)));
                 acts.push((ends, link(false)));
             }
             FaultKind::Stop => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::StopGateway { number }));
-                    acts.push((ends, Act::ContinueGateway { number }));
+                    acts.push((at, Action::StopGateway { number }));
+                    acts.push((ends, Action::ContinueGateway { number }));
                 }
             }
             FaultKind::Forget => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::KillGateway { number }));
-                    acts.push((at, Act::ForgetGateway { number }));
-                    acts.push((at + fault.returns, Act::StartGateway { number }));
+                    acts.push((at, Action::KillGateway { number }));
+                    acts.push((at, Action::ForgetGateway { number }));
+                    acts.push((at + fault.returns, Action::StartGateway { number }));
                 }
             }
             FaultKind::Twins => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::Twin { number, begins: true }));
-                    acts.push((ends, Act::Twin { number, begins: false }));
+                    acts.push((at, Action::Twin { number, begins: true }));
+                    acts.push((ends, Action::Twin { number, begins: false }));
                 }
             }
             FaultKind::Clock | FaultKind::ClockStep => {
                 let steps = kind == FaultKind::ClockStep;
                 let (rate, step) = if steps { (1.0, size) } else { (size, 0.0) };
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::Clock { number, rate, step, begins: true }));
-                    acts.push((ends, Act::Clock { number, rate: 1.0, step: 0.0, begins: false }));
+                    acts.push((at, Action::Clock { number, rate, step, begins: true }));
+                    acts.push((ends, Action::Clock { number, rate: 1.0, step: 0.0, begins: false }));
                 }
             }
             FaultKind::Shouts | FaultKind::StaleNews => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::Manner { kind, number, begins: true }));
-                    acts.push((ends, Act::Manner { kind, number, begins: false }));
+                    acts.push((at, Action::Manner { kind, number, begins: true }));
+                    acts.push((ends, Action::Manner { kind, number, begins: false }));
                 }
             }
             FaultKind::DiskStands => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
-                    acts.push((at, Act::Disk { number, lasts: fault.lasts }));
+                    acts.push((at, Action::Disk { number, lasts: fault.lasts }));
                 }
             }
             FaultKind::KillInitiators => {
@@ -258,16 +261,16 @@
                 // Spread over the span, so that some are back before others go.
                 for (nth, number) in picked.iter().enumerate() {
                     let at = at + fault.lasts * nth as f64 / picked.len() as f64;
-                    acts.push((at, Act::KillGateway { number: *number }));
-                    acts.push((at + fault.returns, Act::StartGateway { number: *number }));
+                    acts.push((at, Action::KillGateway { number: *number }));
+                    acts.push((at + fault.returns, Action::StartGateway { number: *number }));
                 }
             }
             FaultKind::StallInitiators => {
                 for number in pick(day.fleet.gateways, fault.part, fault.node) {
                     let mut from = at;
                     while from + size <= ends + 1e-9 {
-                        acts.push((from, Act::StopGateway { number }));
-                        acts.push((from + size, Act::ContinueGateway { number }));
+                        acts.push((from, Action::StopGateway { number }));
+                        acts.push((from + size, Action::ContinueGateway { number }));
                         from += size + 2.0;
                     }
                 }
@@ -275,7 +278,7 @@
             FaultKind::SameAddress => {
                 for block in pick(day.fleet.nodes, fault.part, fault.node) {
                     let block = i64::from(block);
-                    acts.push((at, Act::Restart { block, after: fault.returns }));
+                    acts.push((at, Action::Restart { block, after: fault.returns }));
                 }
             }
             FaultKind::Drain | FaultKind::Replace => {
@@ -287,17 +290,17 @@
                     let at = at + fault.lasts * wave as f64 / waves as f64;
                     let dies = if kind == FaultKind::Drain { at + size } else { at };
                     if kind == FaultKind::Drain {
-                        acts.push((at, Act::Drain { block }));
+                        acts.push((at, Action::Drain { block }));
                     }
-                    acts.push((dies, Act::KillNode { block }));
-                    acts.push((dies + fault.returns, Act::Replace { block }));
+                    acts.push((dies, Action::KillNode { block }));
+                    acts.push((dies + fault.returns, Action::Replace { block }));
                 }
             }
             _ => {
                 for block in pick(day.fleet.nodes, fault.part, fault.node) {
                     let block = i64::from(block);
-                    acts.push((at, Act::Node { kind, block, size, begins: true }));
-                    acts.push((ends, Act::Node { kind, block, size, begins: false }));
+                    acts.push((at, Action::Node { kind, block, size, begins: true }));
+                    acts.push((ends, Action::Node { kind, block, size, begins: false }));
                 }
             }
         }
@@ -308,7 +311,7 @@
 
 /// A day of the same fleet and traffic, with troubles drawn by a seed: three to six, overlapping, of every kind.
 /// Where initiators talk, links and processes of the fleet get their own.
-pub fn storm(day: &Day, talks: bool, seed: u64, lasts: f64) -> Day {
+pub fn random_day(day: &Day, talks: bool, seed: u64, lasts: f64) -> Day {
     use FaultKind::*;
     let mut chance = SmallRng::seed_from_u64(seed ^ 0x0057_0123);
     let kinds = [
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -10,24 +10,28 @@
 use quaypath_settings::Deployment;
 use serde::Serialize;
 
-use crate::shares::{self, Shares};
-use crate::told::{self, Told};
+use crate::fleet_report::{self, FleetReport};
+use crate::sharing_report::{self, SharingReport};
 
 /// Counts of a band or a plan, all from the clients' and targets' side of the sockets.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Row {
     pub name: String,
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub transactions: u64,
     pub settled: u64,
     pub declined: u64,
     pub scrapped: u64,
     /// Settled after the due time.
     pub late: u64,
     /// Callers that left, and whose gateway died.
-    pub left: u64,
-    pub cut: u64,
+    #[serde(rename = "left")]
+    pub client_cancelled: u64,
+    #[serde(rename = "cut")]
+    pub connection_lost: u64,
     pub shots: u64,
-    pub further: u64,
+    #[serde(rename = "further")]
+    pub further_shots: u64,
     /// Milliseconds to a settled answer.
     pub p50: f64,
     pub p99: f64,
@@ -40,9 +44,12 @@
     pub all: Row,
     pub breaches: Vec<Breach>,
     /// Breaches of the fleet's promises, and what its members told each other, where initiators talk.
-    pub promises: Vec<fleet::Breach>,
-    pub told: Option<Told>,
-    pub shares: Shares,
+    #[serde(rename = "promises")]
+    pub fleet_breaches: Vec<fleet::Breach>,
+    #[serde(rename = "told")]
+    pub fleet: Option<FleetReport>,
+    #[serde(rename = "shares")]
+    pub sharing: SharingReport,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -70,7 +77,7 @@
 type Count = Box<dyn Fn(&mut Sum)>;
 
 /// Judges events in order of time, and counts them.
-pub fn report(deployment: &Deployment, transit: f64, events: &[Event]) -> Report {
+pub fn from_events(deployment: &Deployment, transit: f64, events: &[Event]) -> Report {
     let mut book = deployment.rule_parameters.clone();
     book.transit = transit;
     let mut bands: Vec<Sum> = deployment.band_names.iter().map(|name| Sum::new(name)).collect();
@@ -83,7 +90,7 @@
             Event::CommandSent { t, mark, volume, band, .. } => {
                 let plan = deployment.volumes.get(volume).map_or(0, |volume| volume.plan);
                 asked.insert(*mark, (*t, *band, plan));
-                (*mark, Box::new(|sum| sum.row.taken += 1))
+                (*mark, Box::new(|sum| sum.row.transactions += 1))
             }
             Event::FinalAnswer { t, mark, end, .. } => {
                 let Some((from, band, _)) = asked.get(mark).copied() else { continue };
@@ -100,8 +107,8 @@
                 };
                 (*mark, Box::new(count))
             }
-            Event::ClientCancelled { mark, .. } => (*mark, Box::new(|sum| sum.row.left += 1)),
-            Event::ClientConnectionLost { mark, .. } => (*mark, Box::new(|sum| sum.row.cut += 1)),
+            Event::ClientCancelled { mark, .. } => (*mark, Box::new(|sum| sum.row.client_cancelled += 1)),
+            Event::ClientConnectionLost { mark, .. } => (*mark, Box::new(|sum| sum.row.connection_lost += 1)),
             Event::ShotArrived { mark, .. } => {
                 let count = shots.entry(*mark).or_default();
                 *count += 1;
@@ -110,7 +117,7 @@
                     *mark,
                     Box::new(move |sum| {
                         sum.row.shots += 1;
-                        sum.row.further += further;
+                        sum.row.further_shots += further;
                     }),
                 )
             }
@@ -126,22 +133,23 @@
         plans: plans.into_iter().map(Sum::done).collect(),
         all: all.done(),
         breaches: judge(&book, events),
-        promises: told::book(deployment, transit).map_or(Vec::new(), |book| fleet::judge(&book, events)),
-        told: deployment.fleet.as_ref().map(|_| told::told(events)),
-        shares: shares::shares(deployment, events),
+        fleet_breaches: fleet_report::rule_parameters(deployment, transit)
+            .map_or(Vec::new(), |book| fleet::judge(&book, events)),
+        fleet: deployment.fleet.as_ref().map(|_| fleet_report::from_events(events)),
+        sharing: sharing_report::from_events(deployment, events),
     }
 }
 
 /// Reads records and reports on them.
-pub fn of_files(
+pub fn from_files(
     deployment: &Deployment, transit: f64, paths: &[PathBuf],
 ) -> Result<Report, quaypath_record::Error> {
-    Ok(report(deployment, transit, &quaypath_record::read(paths)?))
+    Ok(from_events(deployment, transit, &quaypath_record::read(paths)?))
 }
 
 impl Report {
-    pub fn kept(&self) -> bool {
-        self.breaches.is_empty() && self.promises.is_empty()
+    pub fn rules_kept(&self) -> bool {
+        self.breaches.is_empty() && self.fleet_breaches.is_empty()
     }
 
     pub fn table(&self) -> String {
@@ -153,10 +161,18 @@
         let groups = [("band", &self.bands), ("plan", &self.plans)];
         let named = groups.iter().flat_map(|(kind, rows)| rows.iter().map(move |row| (*kind, row)));
         for (kind, row) in named.chain([("", &self.all)]) {
-            let counts = [row.taken, row.settled, row.declined, row.scrapped, row.late, row.left, row.cut];
+            let counts = [
+                row.transactions,
+                row.settled,
+                row.declined,
+                row.scrapped,
+                row.late,
+                row.client_cancelled,
+                row.connection_lost,
+            ];
             let mut cells = vec![format!("{kind} {}", row.name).trim().to_string()];
             cells.extend(counts.iter().map(u64::to_string));
-            cells.extend([row.shots.to_string(), row.further.to_string()]);
+            cells.extend([row.shots.to_string(), row.further_shots.to_string()]);
             cells.extend([format!("{:.1}", row.p50), format!("{:.1}", row.p99)]);
             table.add_row(cells);
         }
@@ -166,7 +182,7 @@
 
     /// One line on the rules, and the first breaches of each.
     pub fn verdict(&self) -> String {
-        if self.kept() {
+        if self.rules_kept() {
             return "rules kept".into();
         }
         let mut by_rule: BTreeMap<u8, Vec<&Breach>> = BTreeMap::new();
@@ -178,7 +194,7 @@
         }
         let mut broken: Vec<String> = by_rule.keys().map(|rule| format!("rule {rule}")).collect();
         for promise in fleet::Promise::ALL {
-            let breaches: Vec<_> = self.promises.iter().filter(|one| one.promise == promise).collect();
+            let breaches: Vec<_> = self.fleet_breaches.iter().filter(|one| one.promise == promise).collect();
             if breaches.is_empty() {
                 continue;
             }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -21,7 +21,7 @@
 use thiserror::Error;
 use tracing::{debug, info, warn};
 
-use crate::plan::{script, traffic, Act};
+use crate::plan::{script, traffic, Action};
 
 #[derive(Debug, Error)]
 pub enum Error {
@@ -40,34 +40,34 @@
 
 pub struct Options {
     /// The gateway's program.
-    pub gateway: PathBuf,
+    pub gateway_program: PathBuf,
     /// The deployment's file, as the gateways read it.
     pub deployment: PathBuf,
     /// Where record, lists and logs go.
     pub folder: PathBuf,
     /// Run the careless baseline in the gateways.
-    pub careless: bool,
+    pub baseline: bool,
     /// What gateways tell and lend each other, in place of the settings'.
     pub signals: Option<String>,
     /// A safeguard of theirs that is taken away, by name.
-    pub without: Option<String>,
+    pub disabled_safeguard: Option<String>,
 }
 
 /// What the gateways said of themselves at the end; for the table only, never for the verdict.
-pub type Books = BTreeMap<u32, serde_json::Value>;
+pub type GatewayCounts = BTreeMap<u32, serde_json::Value>;
 
 /// Memory held by a gateway's process, by second of the day: resident KiB.
-pub type Memory = BTreeMap<u32, Vec<(f64, u64)>>;
+pub type MemorySamples = BTreeMap<u32, Vec<(f64, u64)>>;
 
 /// What a day leaves beside its record.
-pub struct Left {
-    pub books: Books,
-    pub memory: Memory,
-    pub tally: Tally,
+pub struct Outcome {
+    pub gateway_counts: GatewayCounts,
+    pub memory: MemorySamples,
+    pub clients: Tally,
     /// How often faults of links struck, by kind.
-    pub struck: BTreeMap<String, u64>,
+    pub link_faults: BTreeMap<String, u64>,
     /// Processor time of each gateway's process, seconds, and how long it ran.
-    pub processor: BTreeMap<u32, (f64, f64)>,
+    pub processor_times: BTreeMap<u32, (f64, f64)>,
 }
 
 /// How often the gateways' memory is looked at, seconds.
@@ -106,7 +106,7 @@
         let number = self.number;
         let log = options.folder.join(format!("gateway-{number}-{}.log", self.lives));
         let log = std::fs::File::create(&log).map_err(io(log.display().to_string()))?;
-        let mut command = Command::new(&options.gateway);
+        let mut command = Command::new(&options.gateway_program);
         command
             .arg("--settings")
             .arg(&options.deployment)
@@ -118,10 +118,10 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(log);
-        if options.careless {
+        if options.baseline {
             command.arg("--careless");
         }
-        for (name, value) in [("--signals", &options.signals), ("--without", &options.without)] {
+        for (name, value) in [("--signals", &options.signals), ("--without", &options.disabled_safeguard)] {
             if let Some(value) = value {
                 command.args([name, value]);
             }
@@ -138,7 +138,7 @@
         if !self.twin {
             record.put(Event::GatewayStarted { t: record.clock.now(), gateway: number });
         }
-        let mut child = command.spawn().map_err(io(options.gateway.display().to_string()))?;
+        let mut child = command.spawn().map_err(io(options.gateway_program.display().to_string()))?;
         let (stdin, stdout) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
         let mut lines = BufReader::new(stdout);
         let mut line = String::new();
@@ -258,7 +258,7 @@
     /// Parts of the data by the names of the nodes that hold them.
     blocks: Arc<Mutex<BTreeMap<String, i64>>>,
     started: u64,
-    memory: Memory,
+    memory: MemorySamples,
     looked_at: f64,
 }
 
@@ -317,10 +317,10 @@
         self.record.put(Event::Fault { t: self.record.clock.now(), kind: name_of(kind), on, begins });
     }
 
-    fn act(&mut self, act: &Act) -> Result<(), Error> {
+    fn act(&mut self, act: &Action) -> Result<(), Error> {
         debug!(?act, "script");
         match act {
-            Act::Node { kind, block, size, begins } => {
+            Action::Node { kind, block, size, begins } => {
                 let Some(target) = self.targets.get(block) else { return Ok(()) };
                 let (on, size, begins) = (target.node.clone(), *size, *begins);
                 target.set(|faults| match kind {
@@ -341,14 +341,14 @@
                 });
                 self.fault(*kind, on, begins);
             }
-            Act::Drain { block } => self.unlist(*block, NodeCondition::Draining, 0.0),
-            Act::KillNode { block } => {
+            Action::Drain { block } => self.unlist(*block, NodeCondition::Draining, 0.0),
+            Action::KillNode { block } => {
                 // The register sees a dead process later than a notice.
                 self.unlist(*block, NodeCondition::Removed, self.day.fleet.notice);
                 self.targets.remove(block);
             }
-            Act::Replace { block } => self.target(*block, true)?,
-            Act::Restart { block, after } => {
+            Action::Replace { block } => self.target(*block, true)?,
+            Action::Restart { block, after } => {
                 let Some(target) = self.targets.remove(block) else { return Ok(()) };
                 let address: SocketAddr = target.node.parse().expect("a target's name is its address");
                 // The process is gone before its successor binds.
@@ -358,11 +358,11 @@
                     std::net::TcpListener::bind(address).map_err(io(format!("{address}, again")))?;
                 self.target_at(*block, true, listener)?;
             }
-            Act::KillGateway { number } => {
+            Action::KillGateway { number } => {
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.kill(self.links.as_ref(), &self.record));
             }
-            Act::StartGateway { number } => {
+            Action::StartGateway { number } => {
                 let register = register_of(self.day, &self.register, self.links.as_ref(), *number)?;
                 if let Some(gateway) =
                     self.gateways.get_mut(number).filter(|gateway| gateway.process.is_none())
@@ -370,12 +370,12 @@
                     gateway.start(self.options, register, self.links.as_ref(), &self.record)?;
                 }
             }
-            Act::ForgetGateway { number } => {
+            Action::ForgetGateway { number } => {
                 let list = self.gateways.get(number).map(|gateway| gateway.list(&self.options.folder));
                 // A process that never had a list has none to lose.
                 list.into_iter().for_each(|list| drop(std::fs::remove_file(list)));
             }
-            Act::Twin { number, begins } => {
+            Action::Twin { number, begins } => {
                 self.fault(FaultKind::Twins, number.to_string(), *begins);
                 if *begins {
                     let register = register_of(self.day, &self.register, self.links.as_ref(), *number)?;
@@ -386,12 +386,12 @@
                     twin.kill(self.links.as_ref(), &self.record);
                 }
             }
-            Act::Clock { number, rate, step, begins } => {
+            Action::Clock { number, rate, step, begins } => {
                 self.fault(FaultKind::Clock, number.to_string(), *begins);
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("clock {rate} {step}")));
             }
-            Act::Manner { kind, number, begins } => {
+            Action::Manner { kind, number, begins } => {
                 self.fault(*kind, number.to_string(), *begins);
                 let manner = match kind {
                     FaultKind::Shouts if *begins => "shouts",
@@ -401,12 +401,12 @@
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("signals {manner}")));
             }
-            Act::Disk { number, lasts } => {
+            Action::Disk { number, lasts } => {
                 self.fault(FaultKind::DiskStands, number.to_string(), true);
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("disk {lasts}")));
             }
-            Act::Link { kind, from, to, size, begins } => {
+            Action::Link { kind, from, to, size, begins } => {
                 if let Some(links) = &self.links {
                     links.set(*kind, from, to, *size, *begins);
                 }
@@ -421,15 +421,15 @@
                 let (t, kind) = (self.record.clock.now(), name_of(*kind));
                 self.record.put(Event::LinkFault { t, kind, from, to, size: *size, begins: *begins });
             }
-            Act::StopGateway { number } | Act::ContinueGateway { number } => {
-                let begins = matches!(act, Act::StopGateway { .. });
+            Action::StopGateway { number } | Action::ContinueGateway { number } => {
+                let begins = matches!(act, Action::StopGateway { .. });
                 let (kind, on) = ("stall".to_string(), number.to_string());
                 if let Some(gateway) = self.gateways.get(number).filter(|gateway| gateway.process.is_some()) {
                     gateway.signal(if begins { Signal::STOP } else { Signal::CONT });
                 }
                 self.record.put(Event::Fault { t: self.record.clock.now(), kind, on, begins });
             }
-            Act::Register { kind, size, begins } => {
+            Action::Register { kind, size, begins } => {
                 match kind {
                     FaultKind::RegisterFails => self.register.fails(*begins),
                     _ => self.register.late(if *begins { *size } else { 0.0 }),
@@ -540,7 +540,7 @@
             links,
             blocks,
             started: 0,
-            memory: Memory::new(),
+            memory: MemorySamples::new(),
             looked_at: f64::NEG_INFINITY,
         };
         for block in 0..i64::from(day.fleet.nodes) {
@@ -556,18 +556,18 @@
     }
 
     /// Ends the gateways in order; what they counted.
-    fn down(&mut self) -> Books {
-        let books = self.gateways.iter_mut();
-        books.filter_map(|(number, gateway)| Some((*number, gateway.finish()?))).collect()
+    fn down(&mut self) -> GatewayCounts {
+        let gateway_counts = self.gateways.iter_mut();
+        gateway_counts.filter_map(|(number, gateway)| Some((*number, gateway.finish()?))).collect()
     }
 }
 
 /// Keeps a day's fleet up, with no traffic of its own, until `over` says so. `ready` is given the gateways' addresses;
 /// the day's troubles begin when `begins` gives a time on the record's clock, and not before.
-pub fn fleet(
+pub fn run_fleet(
     day: &Day, deployment: &Deployment, options: &Options, ready: impl FnOnce(&[(u32, SocketAddr)]),
     begins: impl Fn() -> Option<f64>, over: impl Fn() -> bool,
-) -> Result<Books, Error> {
+) -> Result<GatewayCounts, Error> {
     let mut stage = Stage::up(day, deployment, options)?;
     let addresses: Vec<_> =
         stage.gateways.iter().map(|(number, gateway)| (*number, gateway.address)).collect();
@@ -581,16 +581,16 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    let books = stage.down();
+    let gateway_counts = stage.down();
     let record = stage.record.clone();
     drop(stage);
     record.flush()?;
-    Ok(books)
+    Ok(gateway_counts)
 }
 
 /// Runs the day; gives what the gateways counted, the memory they held and how the clients fared. The record is
 /// in the folder.
-pub fn run(day: &Day, deployment: &Deployment, options: &Options) -> Result<Left, Error> {
+pub fn run(day: &Day, deployment: &Deployment, options: &Options) -> Result<Outcome, Error> {
     let mut stage = Stage::up(day, deployment, options)?;
     let record = stage.record.clone();
     let asks = Arc::new(traffic(day, deployment));
@@ -634,14 +634,14 @@
     // What still runs at the nodes is given the time to show.
     std::thread::sleep(Duration::from_millis(200));
     drop(clients);
-    let struck = stage.links.as_ref().map(Links::struck).unwrap_or_default();
-    let processor =
+    let link_faults = stage.links.as_ref().map(Links::struck).unwrap_or_default();
+    let processor_times =
         stage.gateways.iter().filter_map(|(number, gateway)| Some((*number, gateway.processor()?)));
-    let processor = processor.collect();
-    let books = stage.down();
+    let processor_times = processor_times.collect();
+    let gateway_counts = stage.down();
     record.flush()?;
     let memory = std::mem::take(&mut stage.memory);
     drop(stage);
     record.flush()?;
-    Ok(Left { books, memory, tally, struck, processor })
+    Ok(Outcome { gateway_counts, memory, clients: tally, link_faults, processor_times })
 }
--- a/crates/day/src/shares.rs
+++ b/crates/day/src/sharing_report.rs
@@ -13,22 +13,30 @@
 const SMALL: f64 = 0.5;
 
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Shares {
+pub struct SharingReport {
     /// Units settled by their due time, of those asked for: of all, and of volumes with a limit.
-    pub served: f64,
-    pub served_limited: f64,
+    #[serde(rename = "served")]
+    pub served_share: f64,
+    #[serde(rename = "served_limited")]
+    pub limited_served_share: f64,
     /// Jain's index of that part over volumes, by weight.
-    pub jain: f64,
+    #[serde(rename = "jain")]
+    pub jain_index: f64,
     /// Units sent for volumes with a limit, of those that the whole limit would have let go.
-    pub limit_used: f64,
+    #[serde(rename = "limit_used")]
+    pub limit_used_share: f64,
     /// Most units that one volume was past its limit.
-    pub over: f64,
+    #[serde(rename = "over")]
+    pub max_overrun: f64,
     /// Units sent to cold nodes, of those that they always bear meanwhile, and nodes that came up cold.
-    pub cold_used: f64,
+    #[serde(rename = "cold_used")]
+    pub cold_capacity_used: f64,
     pub cold_nodes: usize,
-    pub fell: usize,
+    #[serde(rename = "fell")]
+    pub overloads: usize,
     /// Longest time for which a gateway's volume got under half of its even part while it asked for that, seconds.
-    pub longest_short: f64,
+    #[serde(rename = "longest_short")]
+    pub longest_shortage: f64,
 }
 
 #[derive(Default)]
@@ -67,9 +75,9 @@
 }
 
 /// Sums up a record in order of time.
-pub fn shares(deployment: &Deployment, events: &[Event]) -> Shares {
+pub fn from_events(deployment: &Deployment, events: &[Event]) -> SharingReport {
     let (core, limits) = (&deployment.core, &deployment.rule_parameters.limits);
-    let mut shares = Shares::default();
+    let mut report = SharingReport::default();
     let mut volumes: BTreeMap<u32, Volume> = BTreeMap::new();
     let mut open: HashMap<u64, (f64, u32, f64, f64)> = HashMap::new();
     let mut arrived: BTreeSet<u64> = BTreeSet::new();
@@ -119,17 +127,17 @@
             }
             Event::NodeStarted { t, node, cold: true, .. } => {
                 cold.insert(node.clone(), *t);
-                shares.cold_nodes += 1;
+                report.cold_nodes += 1;
             }
             Event::NodeStopped { t, node } => {
                 borne += cold.remove(node).map_or(0.0, |up| bears(t - up));
             }
-            Event::NodeOverloaded { .. } => shares.fell += 1,
+            Event::NodeOverloaded { .. } => report.overloads += 1,
             _ => {}
         }
     }
     borne += cold.values().map(|up| bears(last - up)).sum::<f64>();
-    shares.cold_used = given / f64::max(borne, 1e-9);
+    report.cold_capacity_used = given / f64::max(borne, 1e-9);
     let (mut sums, mut limited) = ((0.0, 0.0, 0.0), (0.0, 0.0, 0.0, 0.0));
     let (mut asked, mut served) = (0.0, 0.0);
     for (id, of) in &volumes {
@@ -142,7 +150,7 @@
         limited.1 += of.served;
         limited.2 += of.let_go;
         limited.3 += of.sent.min(of.let_go);
-        shares.over = shares.over.max(of.over);
+        report.max_overrun = report.max_overrun.max(of.over);
         let even = limit.rate / f64::from(volume.initiators.max(1)) * SPAN;
         for (gateway, asks) in &of.asks {
             let none = Vec::new();
@@ -154,34 +162,34 @@
                 let small =
                     wanted > 2.0 * core.mean_units && between(sends, from, from + SPAN) < SMALL * wanted;
                 short = if small { short + if short == 0.0 { SPAN } else { STEP } } else { 0.0 };
-                shares.longest_short = shares.longest_short.max(short);
+                report.longest_shortage = report.longest_shortage.max(short);
                 from += STEP;
             }
         }
     }
-    shares.served = served / f64::max(asked, 1e-9);
-    shares.served_limited = limited.1 / f64::max(limited.0, 1e-9);
-    shares.limit_used = limited.3 / f64::max(limited.2, 1e-9);
-    shares.jain = sums.1 * sums.1 / f64::max(sums.0 * sums.2, 1e-9);
-    shares
+    report.served_share = served / f64::max(asked, 1e-9);
+    report.limited_served_share = limited.1 / f64::max(limited.0, 1e-9);
+    report.limit_used_share = limited.3 / f64::max(limited.2, 1e-9);
+    report.jain_index = sums.1 * sums.1 / f64::max(sums.0 * sums.2, 1e-9);
+    report
 }
 
-impl Shares {
+impl SharingReport {
     /// One line for people.
     pub fn line(&self) -> String {
         format!(
             "shares: {:.3} of units served in time, {:.3} under limits; Jain's index {:.3}; {:.3} of what limits let go was \
              sent, {:.1} units past one at most; {} cold nodes got {:.2} of what they always bear, {} fell; a gateway's \
              part was short for {:.0} s at most",
-            self.served,
-            self.served_limited,
-            self.jain,
-            self.limit_used,
-            self.over,
+            self.served_share,
+            self.limited_served_share,
+            self.jain_index,
+            self.limit_used_share,
+            self.max_overrun,
             self.cold_nodes,
-            self.cold_used,
-            self.fell,
-            self.longest_short
+            self.cold_capacity_used,
+            self.overloads,
+            self.longest_shortage
         )
     }
 }
--- a/crates/programs/src/bin/check.rs
+++ b/crates/programs/src/bin/check.rs
@@ -37,13 +37,13 @@
 
 fn check(arguments: Arguments) -> Result<bool, String> {
     let deployment = quaypath_settings::deployment(&arguments.settings).map_err(|error| error.to_string())?;
-    let report = report::of_files(&deployment, arguments.transit, &arguments.records)
+    let report = report::from_files(&deployment, arguments.transit, &arguments.records)
         .map_err(|error| error.to_string())?;
     match arguments.format {
         Format::Table => print_line!("{}\n{}", report.table(), report.verdict()),
         Format::Json => print_line!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?),
     }
-    Ok(report.kept())
+    Ok(report.rules_kept())
 }
 
 fn main() -> ExitCode {
--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -134,12 +134,12 @@
     }
     let deployment = path.parent().unwrap_or(Path::new("")).join(&day.deployment);
     Ok(run::Options {
-        gateway,
+        gateway_program: gateway,
         deployment,
         folder: folder.into(),
-        careless: baseline,
+        baseline,
         signals: None,
-        without: None,
+        disabled_safeguard: None,
     })
 }
 
@@ -149,21 +149,22 @@
     let folder_given = arguments.folder.is_some();
     let folder = arguments.folder.unwrap_or(default_folder);
     let options = options(&arguments.day, &day, &folder, arguments.baseline)?;
-    let options = run::Options { signals: arguments.signals, without: arguments.without, ..options };
+    let options =
+        run::Options { signals: arguments.signals, disabled_safeguard: arguments.without, ..options };
     let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
-    let (gateway_counts, memory, clients) = (&outcome.books, &outcome.memory, &outcome.tally);
-    let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
+    let (gateway_counts, memory, clients) = (&outcome.gateway_counts, &outcome.memory, &outcome.clients);
+    let report = report::from_files(&deployment, day.transit, &[run::record_path(&folder)])
         .map_err(|error| error.to_string())?;
     match arguments.format {
         Format::Table => {
             print_line!("{}", report.table());
             print_line!("{} first tries found no gateway", clients.unreachable);
             print_line!("{}", memory_line(memory, day.lasts));
-            report.told.iter().for_each(|fleet_report| print_line!("{}", fleet_report.line()));
-            print_line!("{}", report.shares.line());
-            if !outcome.struck.is_empty() {
+            report.fleet.iter().for_each(|fleet_report| print_line!("{}", fleet_report.line()));
+            print_line!("{}", report.sharing.line());
+            if !outcome.link_faults.is_empty() {
                 let fault_counts =
-                    outcome.struck.iter().map(|(kind, occurrences)| format!("{kind} {occurrences}"));
+                    outcome.link_faults.iter().map(|(kind, occurrences)| format!("{kind} {occurrences}"));
                 print_line!("link faults injected: {}", fault_counts.collect::<Vec<_>>().join(", "));
             }
             if gateway_counts.len() < day.fleet.gateways as usize {
@@ -176,21 +177,21 @@
         }
         Format::Json => {
             let output = serde_json::json!({ "report": report, "books": gateway_counts, "memory": memory,
-                "unreachable": clients.unreachable, "struck": outcome.struck, "processor": outcome.processor });
+                "unreachable": clients.unreachable, "struck": outcome.link_faults, "processor": outcome.processor_times });
             print_line!("{output}");
         }
     }
-    if folder_given || !report.kept() {
+    if folder_given || !report.rules_kept() {
         eprintln!("record and logs: {}", folder.display());
     } else {
         let _ = std::fs::remove_dir_all(&folder);
     }
-    Ok(report.kept())
+    Ok(report.rules_kept())
 }
 
 /// A line with the median and maximum memory of the gateways, from the last samples of the first half of the day and
 /// of the second. `duration` is the length of the day in seconds.
-fn memory_line(memory: &run::Memory, duration: f64) -> String {
+fn memory_line(memory: &run::MemorySamples, duration: f64) -> String {
     let summary = |from: f64, to: f64| {
         let samples = memory.values().filter_map(|samples| {
             samples.iter().rev().find(|(t, _)| (from..=to).contains(t)).map(|(_, kib)| *kib)
@@ -213,23 +214,23 @@
     let mut transactions = 0;
     for seed in arguments.from..arguments.from.saturating_add(arguments.seeds) {
         let short_day =
-            plan::storm(&day, deployment.fleet.is_some(), seed, arguments.lasts.clamp(1.0, 600.0));
+            plan::random_day(&day, deployment.fleet.is_some(), seed, arguments.lasts.clamp(1.0, 600.0));
         let folder = std::env::temp_dir().join(format!("quaypath-storm-{}-{seed}", std::process::id()));
         let options = options(&arguments.day, &day, &folder, false)?;
-        let run::Left { tally, .. } =
+        let run::Outcome { clients, .. } =
             run::run(&short_day, &deployment, &options).map_err(|error| error.to_string())?;
-        let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
+        let report = report::from_files(&deployment, day.transit, &[run::record_path(&folder)])
             .map_err(|error| error.to_string())?;
-        transactions += report.all.taken;
+        transactions += report.all.transactions;
         let kinds: Vec<String> = short_day.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
-        let hung = if tally.done { "" } else { ", HUNG" };
+        let hung = if clients.done { "" } else { ", HUNG" };
         print_line!(
             "seed {seed}: {} taken, {}{hung}  [{}]",
-            report.all.taken,
+            report.all.transactions,
             report.verdict(),
             kinds.join(" ")
         );
-        if report.kept() && tally.done {
+        if report.rules_kept() && clients.done {
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             eprintln!("record and logs: {}", folder.display());
@@ -306,11 +307,11 @@
     let mut options = options(&arguments.day, &day, &folder, arguments.baseline)?;
     options.deployment = resized;
     let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
-    let report = report::of_files(&deployment, day.transit, &[run::record_path(&folder)])
+    let report = report::from_files(&deployment, day.transit, &[run::record_path(&folder)])
         .map_err(|error| error.to_string())?;
-    let fleet_report = report.told.clone().unwrap_or_default();
-    let cores: f64 = outcome.processor.values().map(|(used, running)| used / running.max(1.0)).sum();
-    let percent = 100.0 * cores / outcome.processor.len().max(1) as f64;
+    let fleet_report = report.fleet.clone().unwrap_or_default();
+    let cores: f64 = outcome.processor_times.values().map(|(used, running)| used / running.max(1.0)).sum();
+    let percent = 100.0 * cores / outcome.processor_times.len().max(1) as f64;
     let mut process_memory: Vec<u64> =
         outcome.memory.values().filter_map(|samples| Some(samples.last()?.1)).collect();
     process_memory.sort_unstable();
@@ -320,7 +321,7 @@
     if arguments.folder.is_none() {
         let _ = std::fs::remove_dir_all(&default_folder);
     }
-    Ok(report.kept())
+    Ok(report.rules_kept())
 }
 
 fn fleet(arguments: &Fleet) -> Result<bool, String> {
@@ -348,15 +349,16 @@
         print_line!("ready");
     };
     let begins = || *begins_at.lock().unwrap();
-    run::fleet(&day, &deployment, &options, ready, begins, || input_ended.load(Ordering::Relaxed))
+    run::run_fleet(&day, &deployment, &options, ready, begins, || input_ended.load(Ordering::Relaxed))
         .map_err(|error| error.to_string())?;
     let mut rules_kept = true;
     if !arguments.judge.is_empty() {
         let mut paths = vec![run::record_path(&folder)];
         paths.extend(arguments.judge.iter().cloned());
-        let report = report::of_files(&deployment, day.transit, &paths).map_err(|error| error.to_string())?;
+        let report =
+            report::from_files(&deployment, day.transit, &paths).map_err(|error| error.to_string())?;
         print_line!("{}", report.verdict());
-        rules_kept = report.kept();
+        rules_kept = report.rules_kept();
     }
     if arguments.folder.is_none() && rules_kept {
         let _ = std::fs::remove_dir_all(&default_folder);
