--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{bad, Bad, Deployment};
+use crate::{check_failed, CheckFailure, Deployment};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -304,18 +304,18 @@
     pub fault: Vec<Fault>,
 }
 
-pub(crate) fn decode(day: Day) -> Result<Day, Bad> {
+pub(crate) fn decode(day: Day) -> Result<Day, CheckFailure> {
     if day.lasts <= 0.0 || day.lasts > 3600.0 {
-        return bad("day, lasts", day.lasts, "above 0, 3600 s at most");
+        return check_failed("day, lasts", day.lasts, "above 0, 3600 s at most");
     }
     for (place, value) in [("fleet, unit-time", day.fleet.unit_time), ("traffic, rate", day.traffic.rate)] {
         if value <= 0.0 {
-            return bad(place, value, "must be above 0");
+            return check_failed(place, value, "must be above 0");
         }
     }
     let parts: f64 = day.traffic.share.iter().map(|share| share.part).sum();
     if (parts - 1.0).abs() > 1e-6 {
-        return bad("traffic, share", parts, "the parts add up to 1");
+        return check_failed("traffic, share", parts, "the parts add up to 1");
     }
     for (at, fault) in day.fault.iter().enumerate() {
         let place = format!("fault {} ({:?})", at + 1, fault.kind);
@@ -324,25 +324,33 @@
             matches!(fault.kind, FaultKind::RegisterFails | FaultKind::RegisterLate | FaultKind::LateReports);
         if fault.kind.affects_links() {
             if fault.from.is_empty() || fault.to.is_empty() || parted {
-                return bad(place, "no from and to, or part or node", "links are named by both ends alone");
+                return check_failed(
+                    place,
+                    "no from and to, or part or node",
+                    "links are named by both ends alone",
+                );
             }
         } else if !fault.from.is_empty() || !fault.to.is_empty() {
-            return bad(place, "from or to", "only faults of links have them");
+            return check_failed(place, "from or to", "only faults of links have them");
         } else if !parted && !whole {
-            return bad(place, "neither part nor node", "state which nodes or gateways it falls on");
+            return check_failed(place, "neither part nor node", "state which nodes or gateways it falls on");
         }
         if fault.kind.size_is_fraction() && !(fault.size > 0.0 && fault.size <= 1.0) {
-            return bad(place, fault.size, "size is a part of all datagrams, above 0, 1 at most");
+            return check_failed(place, fault.size, "size is a part of all datagrams, above 0, 1 at most");
         }
         let sized = matches!(fault.kind, FaultKind::Delay | FaultKind::Drip | FaultKind::ClockStep);
         if sized && fault.size <= 0.0 {
-            return bad(place, fault.size, "size is above 0");
+            return check_failed(place, fault.size, "size is above 0");
         }
         if fault.kind == FaultKind::Clock && !(0.1..=10.0).contains(&fault.size) {
-            return bad(place, fault.size, "size is the rate of the clock, 0.1 to 10");
+            return check_failed(place, fault.size, "size is the rate of the clock, 0.1 to 10");
         }
         if fault.at + fault.lasts > day.lasts {
-            return bad(place, fault.at + fault.lasts, format!("ends within the day's {} s", day.lasts));
+            return check_failed(
+                place,
+                fault.at + fault.lasts,
+                format!("ends within the day's {} s", day.lasts),
+            );
         }
     }
     Ok(day)
@@ -350,41 +358,55 @@
 
 impl Day {
     /// Whether bands, plans, volumes and sizes are those of the deployment.
-    pub(crate) fn fits(&self, deployment: &Deployment) -> Result<(), Bad> {
+    pub(crate) fn check_against(&self, deployment: &Deployment) -> Result<(), CheckFailure> {
         for share in &self.traffic.share {
             if !deployment.band_names.contains(&share.band) {
-                return bad("traffic, share", format!("band '{}'", share.band), "a band of the deployment");
+                return check_failed(
+                    "traffic, share",
+                    format!("band '{}'", share.band),
+                    "a band of the deployment",
+                );
             }
         }
         for surge in &self.traffic.surge {
             if let Some(plan) = surge.plan.as_ref().filter(|plan| !deployment.plan_names.contains(plan)) {
-                return bad("traffic, surge", format!("plan '{plan}'"), "a plan of the deployment");
+                return check_failed("traffic, surge", format!("plan '{plan}'"), "a plan of the deployment");
             }
             if let Some(volume) = surge.volume.filter(|volume| !deployment.volumes.contains_key(volume)) {
-                return bad("traffic, surge", format!("volume {volume}"), "a volume of the deployment");
+                return check_failed(
+                    "traffic, surge",
+                    format!("volume {volume}"),
+                    "a volume of the deployment",
+                );
             }
         }
         if let Some(abuse) =
             self.traffic.abuse.iter().find(|abuse| !deployment.plan_names.contains(&abuse.plan))
         {
-            return bad("traffic, abuse", format!("plan '{}'", abuse.plan), "a plan of the deployment");
+            return check_failed(
+                "traffic, abuse",
+                format!("plan '{}'", abuse.plan),
+                "a plan of the deployment",
+            );
         }
         for (at, fault) in self.fault.iter().enumerate().filter(|(_, fault)| fault.kind.affects_links()) {
             let place = format!("fault {} ({:?})", at + 1, fault.kind);
             let (from, to) = match self.link_ends(deployment, fault) {
                 Ok(ends) => ends,
-                Err(found) => return bad(place, found, "ends as the day's gateways, nodes and zones are"),
+                Err(found) => {
+                    return check_failed(place, found, "ends as the day's gateways, nodes and zones are")
+                }
             };
             let gateway =
                 |ends: &BTreeSet<LinkEnd>| ends.iter().any(|end| matches!(end, LinkEnd::Gateway(_)));
             if !gateway(&from) && !gateway(&to) {
-                return bad(place, "no gateway at either end", "links are those of gateways");
+                return check_failed(place, "no gateway at either end", "links are those of gateways");
             }
         }
         if let Some(talk) = &deployment.fleet {
             let lists = |number: u32| talk.member.iter().any(|member| u32::from(member.number) == number);
             if let Some(number) = (0..self.fleet.gateways).find(|number| !lists(*number)) {
-                return bad(
+                return check_failed(
                     "fleet, gateways",
                     format!("gateway {number}"),
                     "a member of the deployment's fleet",
@@ -393,11 +415,11 @@
         }
         if self.fleet.nodes != deployment.nodes {
             let rule = format!("the deployment's layout has {}", deployment.nodes);
-            return bad("fleet, nodes", self.fleet.nodes, rule);
+            return check_failed("fleet, nodes", self.fleet.nodes, rule);
         }
         if f64::from(self.fleet.gateways) > deployment.core.initiators {
             let rule = format!("the deployment's layout has {}", deployment.core.initiators);
-            return bad("fleet, gateways", self.fleet.gateways, rule);
+            return check_failed("fleet, gateways", self.fleet.gateways, rule);
         }
         Ok(())
     }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -8,7 +8,7 @@
 use quaypath_rules as rules;
 use serde::{Deserialize, Serialize};
 
-use crate::{bad, Bad};
+use crate::{check_failed, CheckFailure};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -405,25 +405,25 @@
 /// Most volumes of one file; the core keeps an account of each.
 const MOST_VOLUMES: usize = 100_000;
 
-fn positive(place: &str, value: f64) -> Result<(), Bad> {
+fn positive(place: &str, value: f64) -> Result<(), CheckFailure> {
     if value > 0.0 {
         return Ok(());
     }
-    bad(place, value, "must be above 0")
+    check_failed(place, value, "must be above 0")
 }
 
-fn band(form: &BandForm, longest_return: f64) -> Result<(Band, rules::Band), Bad> {
+fn band(form: &BandForm, longest_return: f64) -> Result<(Band, rules::Band), CheckFailure> {
     let at = format!("band {}", form.name);
     positive(&format!("{at}, due"), form.due)?;
     if form.outer < form.due {
-        return bad(
+        return check_failed(
             format!("{at}, outer"),
             form.outer,
             format!("must be {} (its due time) or more", form.due),
         );
     }
     if form.outer > 3600.0 {
-        return bad(format!("{at}, outer"), form.outer, "3600 s at most, as a timer is");
+        return check_failed(format!("{at}, outer"), form.outer, "3600 s at most, as a timer is");
     }
     let repeat = match form.repeat.as_str() {
         "repeatable" => Repeat::Repeatable,
@@ -432,10 +432,14 @@
     };
     if repeat == Repeat::Tagged && (form.window <= 0.0 || form.scope.is_empty()) {
         let found = format!("window {} and scope '{}'", form.window, form.scope);
-        return bad(at, found, "a tagged band states both: who drops its repeats and for how long (rule 2)");
+        return check_failed(
+            at,
+            found,
+            "a tagged band states both: who drops its repeats and for how long (rule 2)",
+        );
     }
     if repeat != Repeat::Tagged && (form.window > 0.0 || !form.scope.is_empty()) {
-        return bad(at, "window or scope", "only a tagged band has them (rule 2)");
+        return check_failed(at, "window or scope", "only a tagged band has them (rule 2)");
     }
     let scope = match form.scope.as_str() {
         "zone" => DedupScope::Zone,
@@ -443,7 +447,11 @@
         _ => DedupScope::All,
     };
     if longest_return > form.outer {
-        return bad("allow, longest-return", longest_return, format!("{at} waits {} s at most", form.outer));
+        return check_failed(
+            "allow, longest-return",
+            longest_return,
+            format!("{at} waits {} s at most", form.outer),
+        );
     }
     let (window, ordered) = (form.window, form.ordered);
     let core = Band {
@@ -472,17 +480,21 @@
     Ok((core, judged))
 }
 
-fn plan(form: &PlanForm, most_units: u32) -> Result<Plan, Bad> {
+fn plan(form: &PlanForm, most_units: u32) -> Result<Plan, CheckFailure> {
     let at = format!("plan {}", form.name);
     if form.limit > 0.0 && form.burst < f64::from(most_units) {
         let rule = format!("a burst holds the largest transaction, {most_units} units (rule 7)");
-        return bad(format!("{at}, burst"), form.burst, rule);
+        return check_failed(format!("{at}, burst"), form.burst, rule);
     }
     if form.limit == 0.0 && (form.burst > 0.0 || form.slack > 0.0) {
-        return bad(at, "burst or slack without limit", "state the limit too (rule 7)");
+        return check_failed(at, "burst or slack without limit", "state the limit too (rule 7)");
     }
     if form.limit > 0.0 && form.reservation > form.limit {
-        return bad(format!("{at}, reservation"), form.reservation, "not above the plan's limit (rule 7)");
+        return check_failed(
+            format!("{at}, reservation"),
+            form.reservation,
+            "not above the plan's limit (rule 7)",
+        );
     }
     Ok(Plan {
         limit: form.limit,
@@ -494,26 +506,26 @@
     })
 }
 
-fn unique<'a>(what: &str, names: impl Iterator<Item = &'a String>) -> Result<(), Bad> {
+fn unique<'a>(what: &str, names: impl Iterator<Item = &'a String>) -> Result<(), CheckFailure> {
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return bad(format!("{what} {name}"), "the name twice", "each name once");
+            return check_failed(format!("{what} {name}"), "the name twice", "each name once");
         }
     }
     Ok(())
 }
 
 /// Checked ranges, by volume and start.
-fn placements(form: &Form, volumes: &BTreeMap<u32, Volume>) -> Result<Vec<Placement>, Bad> {
+fn placements(form: &Form, volumes: &BTreeMap<u32, Volume>) -> Result<Vec<Placement>, CheckFailure> {
     let mut all = Vec::new();
     for one in &form.placement {
         let at = format!("placement of volume {} from {}", one.volume, one.from);
         let Some(volume) = volumes.get(&one.volume) else {
-            return bad(at, format!("volume {}", one.volume), "a volume of this file");
+            return check_failed(at, format!("volume {}", one.volume), "a volume of this file");
         };
         if one.node >= form.layout.nodes {
-            return bad(
+            return check_failed(
                 at,
                 format!("node {}", one.node),
                 format!("below the layout's {}", form.layout.nodes),
@@ -521,7 +533,11 @@
         }
         let end = one.from.checked_add(one.blocks).filter(|end| one.blocks > 0 && *end <= volume.size);
         if end.is_none() {
-            return bad(at, format!("{} blocks", one.blocks), format!("within the volume's {}", volume.size));
+            return check_failed(
+                at,
+                format!("{} blocks", one.blocks),
+                format!("within the volume's {}", volume.size),
+            );
         }
         all.push(Placement {
             volume: one.volume,
@@ -534,43 +550,43 @@
     for pair in all.windows(2) {
         if pair[0].volume == pair[1].volume && pair[0].from + pair[0].blocks > pair[1].from {
             let at = format!("placement of volume {} from {}", pair[1].volume, pair[1].from);
-            return bad(at, "an overlap", "each block lies on one node");
+            return check_failed(at, "an overlap", "each block lies on one node");
         }
     }
     Ok(all)
 }
 
-fn talk(talk: &FleetSettings, initiators: u32) -> Result<(), Bad> {
+fn talk(talk: &FleetSettings, initiators: u32) -> Result<(), CheckFailure> {
     for (place, value) in [("period", talk.period), ("wait", talk.wait), ("probe-every", talk.probe_every)] {
         positive(&format!("fleet, {place}"), value)?;
     }
     if talk.wait >= talk.period {
-        return bad("fleet, wait", talk.wait, format!("below the period, {} s", talk.period));
+        return check_failed("fleet, wait", talk.wait, format!("below the period, {} s", talk.period));
     }
     if talk.window < talk.probe_every {
         let rule = format!("{} s (probe-every) or more: what one does is seen by then", talk.probe_every);
-        return bad("fleet, window", talk.window, rule);
+        return check_failed("fleet, window", talk.window, rule);
     }
     let (mut numbers, mut addresses) = (BTreeMap::new(), BTreeMap::new());
     for member in &talk.member {
         let at = format!("fleet, member {}", member.number);
         if u32::from(member.number) >= initiators {
-            return bad(at, member.number, format!("below the layout's {initiators} initiators"));
+            return check_failed(at, member.number, format!("below the layout's {initiators} initiators"));
         }
         if member.weight == 0 {
-            return bad(at, "weight 0", "1 or more");
+            return check_failed(at, "weight 0", "1 or more");
         }
         let Ok(address) = member.address.parse::<std::net::SocketAddr>() else {
-            return bad(at, &member.address, "an address and port");
+            return check_failed(at, &member.address, "an address and port");
         };
         if numbers.insert(member.number, ()).is_some() || addresses.insert(address, ()).is_some() {
-            return bad(at, "number or address twice", "each once");
+            return check_failed(at, "number or address twice", "each once");
         }
     }
     Ok(())
 }
 
-pub(crate) fn decode(form: Form) -> Result<Deployment, Bad> {
+pub(crate) fn decode(form: Form) -> Result<Deployment, CheckFailure> {
     if let Some(form_of_talk) = &form.fleet {
         talk(form_of_talk, form.layout.initiators)?;
     }
@@ -578,12 +594,16 @@
     unique("plan", form.plan.iter().map(|plan| &plan.name))?;
     let (allow, figures) = (&form.allow, &form.rules);
     if allow.copies {
-        return bad("allow, copies", true, "two shots out at once are refused here (rule 2)");
+        return check_failed("allow, copies", true, "two shots out at once are refused here (rule 2)");
     }
     positive("units, mean", form.units.mean)?;
     positive("rules, overload-for", figures.overload_for)?;
     if form.register.mode == Mode::Asked && form.register.ask_within <= 0.0 {
-        return bad("register, ask-within", form.register.ask_within, "an asked register states it (rule 3)");
+        return check_failed(
+            "register, ask-within",
+            form.register.ask_within,
+            "an asked register states it (rule 3)",
+        );
     }
     let mut bands = Vec::new();
     let mut judged = Vec::new();
@@ -597,18 +617,18 @@
     for group in &form.volumes {
         let at = format!("volumes from {}", group.first);
         let Some(plan) = form.plan.iter().position(|plan| plan.name == group.plan) else {
-            return bad(at, format!("plan '{}'", group.plan), "a plan of this file");
+            return check_failed(at, format!("plan '{}'", group.plan), "a plan of this file");
         };
         if group.first == 0 {
-            return bad(at, 0, "numbers start at 1: they are namespace ids");
+            return check_failed(at, 0, "numbers start at 1: they are namespace ids");
         }
         if group.nodes > form.layout.nodes || group.initiators > form.layout.initiators {
             let found = format!("{} nodes, {} initiators", group.nodes, group.initiators);
             let (nodes, initiators) = (form.layout.nodes, form.layout.initiators);
-            return bad(at, found, format!("at most the layout's {nodes} and {initiators}"));
+            return check_failed(at, found, format!("at most the layout's {nodes} and {initiators}"));
         }
         if volumes.len() + group.count as usize > MOST_VOLUMES {
-            return bad(at, group.count, format!("{MOST_VOLUMES} volumes at most"));
+            return check_failed(at, group.count, format!("{MOST_VOLUMES} volumes at most"));
         }
         for id in group.first..group.first.saturating_add(group.count) {
             let nodes = i64::from(form.layout.nodes);
@@ -617,7 +637,7 @@
                 .insert(id, Volume { plan, initiators: group.initiators, blocks, size: group.blocks })
                 .is_some()
             {
-                return bad(at, format!("volume {id} twice"), "each volume once");
+                return check_failed(at, format!("volume {id} twice"), "each volume once");
             }
             let of = &form.plan[plan];
             if of.limit > 0.0 {
@@ -628,12 +648,12 @@
     let mut band_rules = Vec::new();
     for rule in &form.band_rule {
         let Some(band) = form.band.iter().position(|band| band.name == rule.band) else {
-            return bad("band-rule", format!("band '{}'", rule.band), "a band of this file");
+            return check_failed("band-rule", format!("band '{}'", rule.band), "a band of this file");
         };
         let volumes = (rule.first.unwrap_or(1), rule.last.unwrap_or(u32::MAX));
         let bytes = (rule.least.unwrap_or(0), rule.most.unwrap_or(u32::MAX));
         if volumes.0 > volumes.1 || bytes.0 > bytes.1 {
-            return bad(
+            return check_failed(
                 format!("band-rule {}", rule.band),
                 "an empty range",
                 "first up to last, least up to most",
--- a/crates/settings/src/deployment/migrate.rs
+++ b/crates/settings/src/deployment/migrate.rs
@@ -16,7 +16,7 @@
 use thiserror::Error as Failure;
 
 use super::{decode, BandForm, Form, FurtherForm, Member};
-use crate::{check, load_form, Error};
+use crate::{check_schema, load_form, Error};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteKind {
@@ -289,7 +289,7 @@
     let mut body = String::new();
     let mut writer = Serializer::new(&mut body);
     writer.indent(' ', 2);
-    form.serialize(writer).map_err(|error| Error::Xml { path: path.into(), what: error.to_string() })?;
+    form.serialize(writer).map_err(|error| Error::Xml { path: path.into(), message: error.to_string() })?;
     Ok(body)
 }
 
@@ -315,7 +315,7 @@
     for group in &mut form.volumes {
         group.initiators = group.initiators.min(u32::from(members));
     }
-    decode(form.clone()).map_err(|bad| bad.at(path))?;
+    decode(form.clone()).map_err(|failure| failure.in_file(path))?;
     written(&form, path)
 }
 
@@ -323,9 +323,9 @@
 pub fn migrate(old: &Path, shape: &Path) -> Result<Migration, Error> {
     let (mut form, text): (Form, _) = load_form(old, "deployment")?;
     // A file that could not be started from is refused before any of it is carried over.
-    decode(form.clone()).map_err(|bad| bad.at(old))?;
+    decode(form.clone()).map_err(|failure| failure.in_file(old))?;
     let (by, _): (Form, _) = load_form(shape, "deployment")?;
-    decode(by.clone()).map_err(|bad| bad.at(shape))?;
+    decode(by.clone()).map_err(|failure| failure.in_file(shape))?;
     let mut notes = Notes::default();
     let (before, inside) = comments(&text);
     carry(&mut form, &by, &mut notes);
@@ -339,8 +339,8 @@
     let body = written(&form, old)?;
     let before: String = before.iter().map(|comment| format!("<!--{comment}-->\n")).collect();
     let text = format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{before}{body}\n");
-    check(old, &text, "deployment")?;
-    decode(form).map_err(|bad| bad.at(old))?;
+    check_schema(old, &text, "deployment")?;
+    decode(form).map_err(|failure| failure.in_file(old))?;
     Ok(Migration { text, notes: notes.0 })
 }
 
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 use crate::day::Share;
-use crate::{bad, Abuse, Bad, Deployment, Leave};
+use crate::{check_failed, Abuse, CheckFailure, Deployment, Leave};
 
 /// A factor of the rate over time, seconds from the load's start.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -297,23 +297,27 @@
 const MOST_OPEN: f64 = 1_000_000.0;
 pub const MAX_RATE: f64 = 1_000_000.0;
 
-fn above(place: &str, value: f64) -> Result<(), Bad> {
+fn above(place: &str, value: f64) -> Result<(), CheckFailure> {
     if value > 0.0 {
         Ok(())
     } else {
-        bad(place, value, "must be above 0")
+        check_failed(place, value, "must be above 0")
     }
 }
 
 /// Counts shapes and looks at each one's own figures.
-fn shapes(of: &[Shape], depth: usize, count: &mut usize) -> Result<(), Bad> {
+fn shapes(of: &[Shape], depth: usize, count: &mut usize) -> Result<(), CheckFailure> {
     if depth > DEEPEST {
-        return bad("shape", format!("shapes {depth} deep"), format!("{DEEPEST} deep at most"));
+        return check_failed("shape", format!("shapes {depth} deep"), format!("{DEEPEST} deep at most"));
     }
     for shape in of {
         *count += 1;
         if *count > MOST_SHAPES {
-            return bad("shape", format!("more than {MOST_SHAPES} shapes"), format!("{MOST_SHAPES} at most"));
+            return check_failed(
+                "shape",
+                format!("more than {MOST_SHAPES} shapes"),
+                format!("{MOST_SHAPES} at most"),
+            );
         }
         match shape {
             Shape::Ramp { lasts, .. } => above("shape, ramp, lasts", *lasts)?,
@@ -327,40 +331,46 @@
     Ok(())
 }
 
-fn draw(place: &str, draw: &Option<Draw>, kinds: &[DrawKind]) -> Result<(), Bad> {
+fn draw(place: &str, draw: &Option<Draw>, kinds: &[DrawKind]) -> Result<(), CheckFailure> {
     let Some(draw) = draw else { return Ok(()) };
     if !kinds.contains(&draw.kind) {
-        return bad(format!("{place}, kind"), format!("{:?}", draw.kind), format!("one of {kinds:?}"));
+        return check_failed(
+            format!("{place}, kind"),
+            format!("{:?}", draw.kind),
+            format!("one of {kinds:?}"),
+        );
     }
     match draw.kind {
         DrawKind::Empirical if draw.value.iter().map(|value| value.weight).sum::<f64>() <= 0.0 => {
-            bad(place, "no value with a weight", "an empirical distribution states its values")
+            check_failed(place, "no value with a weight", "an empirical distribution states its values")
         }
         DrawKind::Fixed | DrawKind::Lognormal => above(&format!("{place}, mean"), draw.mean),
-        DrawKind::Geometric if draw.mean < 1.0 => bad(format!("{place}, mean"), draw.mean, "1 or more"),
+        DrawKind::Geometric if draw.mean < 1.0 => {
+            check_failed(format!("{place}, mean"), draw.mean, "1 or more")
+        }
         DrawKind::Zipf => above(&format!("{place}, exponent"), draw.exponent),
         _ => Ok(()),
     }
 }
 
-pub(crate) fn decode(load: Load) -> Result<Load, Bad> {
+pub(crate) fn decode(load: Load) -> Result<Load, CheckFailure> {
     use DrawKind::*;
     above("load, lasts", load.lasts)?;
     above("load, interval", load.interval)?;
     if load.lasts / load.interval > MOST_INTERVALS {
         let found = format!("{:.0} intervals", load.lasts / load.interval);
-        return bad("load, interval", found, format!("{MOST_INTERVALS} at most"));
+        return check_failed("load, interval", found, format!("{MOST_INTERVALS} at most"));
     }
     if load.warm_up >= load.lasts {
-        return bad("load, warm-up", load.warm_up, "shorter than the load");
+        return check_failed("load, warm-up", load.warm_up, "shorter than the load");
     }
     if load.retries > 255 {
-        return bad("load, retries", load.retries, "255 at most");
+        return check_failed("load, retries", load.retries, "255 at most");
     }
     if let Some(open) = &load.open {
         above("open, rate", open.rate)?;
         if open.process == Process::HeavyTail && open.alpha <= 1.0 {
-            return bad(
+            return check_failed(
                 "open, alpha",
                 open.alpha,
                 "above 1: at 1 and below the gaps have no mean, so no rate",
@@ -374,10 +384,10 @@
     if let Some(recorded) = &load.recorded {
         above("recorded, speed", recorded.speed)?;
         if recorded.to <= recorded.from {
-            return bad("recorded, to", recorded.to, "after from");
+            return check_failed("recorded, to", recorded.to, "after from");
         }
         if load.shape.is_some() {
-            return bad(
+            return check_failed(
                 "shape",
                 "a shape with a record",
                 "a record has its own times; state speed and window",
@@ -386,7 +396,7 @@
     } else {
         let parts: f64 = load.share.iter().map(|share| share.part).sum();
         if (parts - 1.0).abs() > 1e-6 {
-            return bad("share", parts, "the parts add up to 1");
+            return check_failed("share", parts, "the parts add up to 1");
         }
     }
     if let Some(shape) = &load.shape {
@@ -400,10 +410,10 @@
         above("lead, for", lead.lasts)?;
     }
     if let Some(group) = load.group.iter().find(|group| group.last < group.first) {
-        return bad(format!("group '{}'", group.name), group.last, "last is not below first");
+        return check_failed(format!("group '{}'", group.name), group.last, "last is not below first");
     }
     if !(1.0..=MOST_OPEN).contains(&load.bounds.open) {
-        return bad("bounds, open", load.bounds.open, format!("from 1 to {MOST_OPEN}"));
+        return check_failed("bounds, open", load.bounds.open, format!("from 1 to {MOST_OPEN}"));
     }
     above("bounds, behind", load.bounds.behind)?;
     above("bounds, lag", load.bounds.lag)?;
@@ -412,14 +422,14 @@
 
 impl Load {
     /// Whether bands, plans and volumes are those of the deployment.
-    pub(crate) fn fits(&self, deployment: &Deployment) -> Result<(), Bad> {
+    pub(crate) fn check_against(&self, deployment: &Deployment) -> Result<(), CheckFailure> {
         for share in &self.share {
             if !deployment.band_names.contains(&share.band) {
-                return bad("share", format!("band '{}'", share.band), "a band of the deployment");
+                return check_failed("share", format!("band '{}'", share.band), "a band of the deployment");
             }
         }
         if let Some(abuse) = self.abuse.iter().find(|abuse| !deployment.plan_names.contains(&abuse.plan)) {
-            return bad("abuse", format!("plan '{}'", abuse.plan), "a plan of the deployment");
+            return check_failed("abuse", format!("plan '{}'", abuse.plan), "a plan of the deployment");
         }
         let empty = self
             .group
@@ -427,19 +437,31 @@
             .find(|group| deployment.volumes.range(group.first..=group.last).next().is_none());
         if let Some(group) = empty {
             let found = format!("volumes {} to {}", group.first, group.last);
-            return bad(format!("group '{}'", group.name), found, "holds a volume of the deployment");
+            return check_failed(
+                format!("group '{}'", group.name),
+                found,
+                "holds a volume of the deployment",
+            );
         }
         self.shape.iter().try_for_each(|shape| Self::surges(&shape.of, deployment))
     }
 
-    fn surges(of: &[Shape], deployment: &Deployment) -> Result<(), Bad> {
+    fn surges(of: &[Shape], deployment: &Deployment) -> Result<(), CheckFailure> {
         for shape in of {
             match shape {
                 Shape::Surge { plan: Some(plan), .. } if !deployment.plan_names.contains(plan) => {
-                    return bad("shape, surge", format!("plan '{plan}'"), "a plan of the deployment");
+                    return check_failed(
+                        "shape, surge",
+                        format!("plan '{plan}'"),
+                        "a plan of the deployment",
+                    );
                 }
                 Shape::Surge { volume: Some(volume), .. } if !deployment.volumes.contains_key(volume) => {
-                    return bad("shape, surge", format!("volume {volume}"), "a volume of the deployment");
+                    return check_failed(
+                        "shape, surge",
+                        format!("volume {volume}"),
+                        "a volume of the deployment",
+                    );
                 }
                 Shape::Product(inner) | Shape::Sum(inner) => Self::surges(&inner.of, deployment)?,
                 _ => {}
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -1,5 +1,5 @@
-//! From `path=value` pairs to the core's settings, names included: one decoder for the bench's first message and
-//! for the platform's configuration, whose nested JSON holds the same names and units.
+//! Decodes `path=value` pairs into the settings of the core. The first message of the bench protocol contains such
+//! pairs; the platform's configuration contains the same names and units as nested JSON, which is flattened to pairs.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -7,32 +7,32 @@
 use quaypath::types::{Band, DedupScope, Plan, Repeat, Settings};
 use serde_json::Value;
 
-/// What stays outside the core: the names that bands and plans have for others.
+/// Names of the bands and plans, in the order of the core's settings. The core itself knows only their indexes.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub bands: Vec<String>,
     pub plans: Vec<String>,
 }
 
-/// Settings by their path.
+/// Values as text by path; the names in a path are joined by dots.
 #[derive(Clone, Debug, Default)]
 pub struct Pairs(BTreeMap<String, String>);
 
 impl Pairs {
-    /// From text with one space between pairs.
+    /// Reads pairs that are separated by spaces. A pair `-` is ignored.
     pub fn from_text(text: &str) -> Result<Self, String> {
-        let mut map = BTreeMap::new();
+        let mut values = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
             let (path, value) = pair
                 .split_once('=')
                 .ok_or_else(|| format!("setting '{pair}': no '=' between path and value"))?;
-            map.insert(path.to_string(), value.to_string());
+            values.insert(path.to_string(), value.to_string());
         }
-        Ok(Pairs(map))
+        Ok(Pairs(values))
     }
 
-    /// From nested JSON: names are joined by dots, lists of plain values by commas; a list of objects has its
-    /// length under `count`.
+    /// Flattens nested JSON. The items of a list of scalars are joined by commas. In a list of objects each item has
+    /// its index, from 0, as its name, and the length of the list is stored under the name `count`.
     pub fn from_json(value: &Value) -> Self {
         let mut pairs = Pairs::default();
         pairs.flatten("", value);
@@ -40,29 +40,35 @@
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
-        let under = |leaf: &str| if path.is_empty() { leaf.to_string() } else { format!("{path}.{leaf}") };
+        let child_path =
+            |leaf: &str| if path.is_empty() { leaf.to_string() } else { format!("{path}.{leaf}") };
         match value {
             Value::Object(fields) => {
-                fields.iter().for_each(|(name, value)| self.flatten(&under(name), value));
+                fields.iter().for_each(|(name, value)| self.flatten(&child_path(name), value));
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(under("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.flatten(&under(&at.to_string()), item));
+                self.0.insert(child_path("count"), items.len().to_string());
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(index, item)| self.flatten(&child_path(&index.to_string()), item));
             }
             Value::Array(items) => {
-                let items: Vec<String> = items.iter().map(plain).collect();
+                let items: Vec<String> = items.iter().map(scalar_text).collect();
                 self.0.insert(path.to_string(), items.join(","));
             }
             _ => {
-                self.0.insert(path.to_string(), plain(value));
+                self.0.insert(path.to_string(), scalar_text(value));
             }
         }
     }
 
+    /// The value as it was received.
     pub fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(String::as_str)
     }
 
+    /// The parsed value, or `None` if it is absent, empty or `-`.
     pub fn optional<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
         match self.text(path) {
             None | Some("-") | Some("") => Ok(None),
@@ -73,10 +79,12 @@
         }
     }
 
+    /// The parsed value; an error if it is absent, empty or `-`.
     pub fn required<T: FromStr>(&self, path: &str) -> Result<T, String> {
         self.optional(path)?.ok_or_else(|| format!("setting {path} is missing"))
     }
 
+    /// The value as a finite number, or 0 if it is absent.
     pub fn number(&self, path: &str) -> Result<f64, String> {
         let value: f64 = self.optional(path)?.unwrap_or(0.0);
         if value.is_finite() {
@@ -86,26 +94,27 @@
         }
     }
 
+    /// Whether the value is `true` or `1`.
     pub fn flag(&self, path: &str) -> bool {
         matches!(self.text(path), Some("true" | "1"))
     }
 }
 
-/// A JSON value without structure, as the wire would write it.
-fn plain(value: &Value) -> String {
+/// Text of a JSON scalar, as the bench protocol writes it.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
-        other => other.to_string(),
+        scalar => scalar.to_string(),
     }
 }
 
-/// The core's settings, and the names of bands and plans. An error names the path.
+/// Decodes the core's settings and the names of the bands and plans. An error names the path of the setting.
 pub fn core_settings(pairs: &Pairs) -> Result<(Settings, Names), String> {
     let mut names = Names::default();
     let mut bands = Vec::new();
-    for at in 0..pairs.required::<usize>("Grades.count")? {
-        let path = |leaf: &str| format!("Grades.{at}.{leaf}");
+    for index in 0..pairs.required::<usize>("Grades.count")? {
+        let path = |leaf: &str| format!("Grades.{index}.{leaf}");
         names.bands.push(pairs.required(&path("Name"))?);
         bands.push(Band {
             due: pairs.required(&path("Objective"))?,
@@ -114,7 +123,7 @@
                 "retryable" => Repeat::Repeatable,
                 "dedup" => Repeat::Tagged,
                 "fragile" => Repeat::OnceOnly,
-                other => return Err(format!("setting {}: cannot read '{other}'", path("Repeat"))),
+                unknown => return Err(format!("setting {}: cannot read '{unknown}'", path("Repeat"))),
             },
             dedup_scope: match pairs.optional::<String>(&path("DedupScope"))?.as_deref() {
                 Some("all") => DedupScope::All,
@@ -126,8 +135,8 @@
         });
     }
     let mut plans = Vec::new();
-    for at in 0..pairs.optional::<usize>("Policies.count")?.unwrap_or(0) {
-        let path = |leaf: &str| format!("Policies.{at}.{leaf}");
+    for index in 0..pairs.optional::<usize>("Policies.count")?.unwrap_or(0) {
+        let path = |leaf: &str| format!("Policies.{index}.{leaf}");
         names.plans.push(pairs.required(&path("Name"))?);
         plans.push(Plan {
             limit: pairs.number(&path("Cap"))?,
@@ -138,7 +147,7 @@
             benefit_factor: pairs.number(&path("WorthFactor"))?,
         });
     }
-    let look_back = pairs.number("Rules.LookBack")?;
+    let retry_window = pairs.number("Rules.LookBack")?;
     let settings = Settings {
         initiators: pairs.required("Balancers")?,
         bands,
@@ -159,8 +168,8 @@
         overload_window: pairs.number("Rules.OverloadFor")?,
         key_quiet_period: pairs.number("Rules.KeyQuiet")?,
         earlier_loans_hold: 0.0,
-        retry_budget: if look_back > 0.0 {
-            Some((pairs.number("Rules.ResendRatio")?, pairs.number("Rules.SpareAttempts")?, look_back))
+        retry_budget: if retry_window > 0.0 {
+            Some((pairs.number("Rules.ResendRatio")?, pairs.number("Rules.SpareAttempts")?, retry_window))
         } else {
             None
         },
