--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,4 +1,6 @@
-//! A deployment: what the core, the gateway and the rules need to know of it.
+//! Deployments: the settings of a gateway, its core and its fleet, and the parameters by which its records are judged.
+//!
+//! The structs that end in `Form` mirror the elements of the file. [`decode`] checks them and builds a [`Deployment`].
 
 pub mod migrate;
 
@@ -10,62 +12,71 @@
 
 use crate::{check_failed, CheckFailure};
 
+/// How a gateway learns of changes of the node register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Changes arrive by themselves.
+    /// The register sends changes without being asked.
     Pushed,
-    /// Only after a watch or a fetch was asked for.
+    /// The register sends changes only to a gateway that watches it, and the list only on request.
     Asked,
 }
 
+/// Where a gateway listens, and how much it accepts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listen {
+    /// Address and port for client connections.
     #[serde(rename = "@address")]
     pub address: String,
-    /// Most client connections.
+    /// Maximum number of client connections.
     #[serde(rename = "@connections")]
     pub connections: usize,
-    /// Most open transactions; over it a command is turned away before the core.
+    /// Maximum number of open transactions. Commands above it are refused before they reach the core.
     #[serde(rename = "@open")]
     pub open: usize,
 }
 
+/// The node register.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Register {
+    /// Address and port of the register.
     #[serde(rename = "@address")]
     pub address: String,
     #[serde(rename = "@mode")]
     pub mode: Mode,
+    /// Maximum time between polls of a register in the mode [`Mode::Asked`], seconds (rule 3).
     #[serde(rename = "@ask-within", default)]
     pub ask_within: f64,
 }
 
-/// Waits on connections, seconds.
+/// Connections to clients, nodes and the register; times in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Connections {
+    /// Time limit of establishing a connection.
     #[serde(rename = "@connect")]
     pub connect: f64,
+    /// Time after which an idle connection is closed.
     #[serde(rename = "@idle")]
     pub idle: f64,
-    /// How long a peer may leave a PDU unfinished.
+    /// Maximum time for which a peer may leave a PDU incomplete.
     #[serde(rename = "@half-pdu")]
     pub half_pdu: f64,
-    /// Keep alive time-out towards nodes and the register; 0: none.
+    /// Keep Alive timeout of associations with nodes and the register; 0 disables it.
     #[serde(rename = "@keep-alive", default)]
     pub keep_alive: f64,
-    /// I/O queues of one association with a node.
-    #[serde(rename = "@queues", default = "one")]
+    /// Number of I/O queues of an association with a node.
+    #[serde(rename = "@queues", default = "default_queues")]
     pub queues: u16,
-    /// Digests asked of nodes.
+    /// PDU digests that are requested from nodes.
     #[serde(rename = "@digests", default)]
     pub digests: Digests,
 }
 
-fn one() -> u16 {
+fn default_queues() -> u16 {
     1
 }
 
+/// Which digests PDUs of NVMe/TCP have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Digests {
@@ -76,6 +87,7 @@
     Both,
 }
 
+/// Element `band-rule`: `first` and `last` limit the volumes, `least` and `most` the length in bytes.
 #[derive(Clone, Serialize, Deserialize)]
 struct BandRuleForm {
     #[serde(rename = "@band")]
@@ -90,6 +102,7 @@
     most: Option<u32>,
 }
 
+/// Element `placement`: logical blocks `from` up to `from + blocks` of a volume.
 #[derive(Clone, Serialize, Deserialize)]
 struct PlacementForm {
     #[serde(rename = "@volume")]
@@ -102,6 +115,7 @@
     node: u32,
 }
 
+/// Element `allow`: what the contract with the nodes allows.
 #[derive(Clone, Serialize, Deserialize)]
 struct AllowForm {
     #[serde(rename = "@shots")]
@@ -114,6 +128,8 @@
     longest_return: f64,
 }
 
+/// Element `further`: the budget of further shots (rule 6). `free` further shots, and `share` of the transactions received within the
+/// last `look_back` seconds, are allowed.
 #[derive(Clone, Serialize, Deserialize)]
 struct FurtherForm {
     #[serde(rename = "@share")]
@@ -124,6 +140,7 @@
     look_back: f64,
 }
 
+/// Element `rules`: parameters of the rules; times in seconds.
 #[derive(Clone, Serialize, Deserialize)]
 struct RulesForm {
     #[serde(rename = "@answer-slack")]
@@ -146,6 +163,7 @@
     further: Option<FurtherForm>,
 }
 
+/// Element `units`: sizes of transactions in units, and the period of usage reports in seconds.
 #[derive(Clone, Serialize, Deserialize)]
 struct UnitsForm {
     #[serde(rename = "@mean")]
@@ -154,15 +172,16 @@
     most: u32,
     #[serde(rename = "@metering")]
     metering: f64,
-    /// Nodes tell what others used of a volume.
-    #[serde(rename = "@tells-others", default = "yes")]
-    tells_others: bool,
+    /// Whether nodes report how much of a volume's limit other initiators used.
+    #[serde(rename = "@tells-others", default = "default_reports_others")]
+    reports_others_usage: bool,
 }
 
-fn yes() -> bool {
+fn default_reports_others() -> bool {
     true
 }
 
+/// Element `layout`: size of the deployment.
 #[derive(Clone, Serialize, Deserialize)]
 struct LayoutForm {
     #[serde(rename = "@initiators")]
@@ -175,57 +194,58 @@
     extent_blocks: u64,
 }
 
-fn one_weight() -> u8 {
+fn default_member_weight() -> u8 {
     1
 }
 
-/// A process of the fleet.
+/// A gateway process of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
-    /// Number of its initiator.
+    /// Number of the initiator that it runs, below the layout's number of initiators.
     #[serde(rename = "@number")]
     pub number: u16,
-    /// Where it takes datagrams.
+    /// Address and port on which it receives the fleet's datagrams.
     #[serde(rename = "@address")]
     pub address: String,
-    /// Part of the shared duties, relative to others.
-    #[serde(rename = "@weight", default = "one_weight")]
+    /// Weight of its part of the shared duties, relative to the other members.
+    #[serde(rename = "@weight", default = "default_member_weight")]
     pub weight: u8,
 }
 
-/// What initiators that talk tell and lend each other.
+/// Which signals the initiators of a fleet exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SignalScope {
     None,
-    /// What their answers told of nodes.
+    /// Reports about nodes, from the answers that the nodes sent.
     #[serde(rename = "news")]
     NodeReports,
-    /// Parts of volumes' limits.
+    /// Loans of parts of volumes' limits.
     #[serde(rename = "parts")]
     Lending,
     #[default]
     All,
 }
 
-/// How the initiators talk; times in seconds.
+/// The fleet of initiators, which exchange datagrams; times in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetSettings {
-    /// Told apart from other fleets by it.
+    /// Name by which datagrams of other fleets are recognized and ignored.
     #[serde(rename = "@name")]
     pub name: String,
-    /// One check of another member a period.
+    /// Check period: each member checks one other member per period.
     #[serde(rename = "@period")]
     pub period: f64,
-    /// How long a check waits before others are asked.
+    /// Time that a check waits for an answer before helpers are asked to check the same member.
     #[serde(rename = "@wait")]
     pub wait: f64,
+    /// Number of helpers.
     #[serde(rename = "@helpers")]
     pub helpers: u16,
-    /// How often each node is probed, by one member.
+    /// Interval at which each node is probed, by one member of the fleet.
     #[serde(rename = "@probe-every")]
     pub probe_every: f64,
-    /// How long two members may both probe one node after a change.
+    /// Maximum time after a change of the membership in which two members may probe the same node.
     #[serde(rename = "@window")]
     pub window: f64,
     #[serde(rename = "@signals", default)]
@@ -233,6 +253,7 @@
     pub member: Vec<Member>,
 }
 
+/// Element `band`; times in seconds.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 struct BandForm {
     #[serde(rename = "@name")]
@@ -255,6 +276,7 @@
     writes: bool,
 }
 
+/// Element `plan`; rates in units per second.
 #[derive(Clone, Serialize, Deserialize)]
 struct PlanForm {
     #[serde(rename = "@name")]
@@ -275,6 +297,7 @@
     slack: f64,
 }
 
+/// Element `volumes`: `count` volumes of one plan, numbered from `first`.
 #[derive(Clone, Serialize, Deserialize)]
 struct VolumesForm {
     #[serde(rename = "@plan")]
@@ -287,15 +310,16 @@
     initiators: u32,
     #[serde(rename = "@nodes")]
     nodes: u32,
-    #[serde(rename = "@blocks", default = "blocks")]
+    #[serde(rename = "@blocks", default = "default_volume_blocks")]
     blocks: u64,
 }
 
-/// Size of a volume where the file states none: 512 MiB.
-fn blocks() -> u64 {
+/// Size in logical blocks of a volume whose file states none: 512 MiB.
+fn default_volume_blocks() -> u64 {
     1 << 20
 }
 
+/// Element `deployment`, the root of the file.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(rename = "deployment")]
 pub(crate) struct Form {
@@ -322,23 +346,28 @@
 /// One volume: an NVMe namespace whose id is the volume's number.
 #[derive(Clone, Debug)]
 pub struct Volume {
+    /// Index of its plan.
     pub plan: usize,
+    /// Number of initiators over which its commands are spread.
     pub initiators: u32,
-    /// Blocks (parts of the data, one node each) that its extents lie on, in turn.
+    /// Blocks (parts of the data, each held by one node) over which its extents are distributed round-robin.
     pub blocks: Vec<i64>,
-    /// Its size, logical blocks.
+    /// Size in logical blocks.
     pub size: u64,
 }
 
-/// Which band a host's command is of that does not say: by namespaces and bytes, both ends included.
+/// Assigns a band to a host's command that states none, by its volume and length. Both ends of a range are included.
 #[derive(Clone, Debug)]
 pub struct BandRule {
+    /// Index of the band.
     pub band: usize,
+    /// Namespace ids.
     pub volumes: (u32, u32),
+    /// Length of the command's data in bytes.
     pub bytes: (u32, u32),
 }
 
-/// A range of a volume that lies on a node of its own.
+/// Range of `blocks` logical blocks of a volume, from block `from`, that is stored on a stated node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
     pub volume: u32,
@@ -347,83 +376,89 @@
     pub node: i64,
 }
 
+/// A checked deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub name: String,
     pub listen: Listen,
     pub register: Register,
     pub connections: Connections,
-    /// What the core is started with.
+    /// Settings with which the core is started.
     pub core: Settings,
-    /// What the rules are judged by.
+    /// Parameters with which records are judged by the rules.
     pub rule_parameters: rules::Parameters,
     pub band_names: Vec<String>,
-    /// Longest time that a caller of each band waits, seconds; and whether the band writes.
+    /// Outer limit of each band, seconds: the longest time that its clients wait.
     pub outer_limits: Vec<f64>,
+    /// Whether each band writes.
     pub writes: Vec<bool>,
     pub plan_names: Vec<String>,
+    /// Nominal rate of each plan.
     pub nominal: Vec<f64>,
+    /// Size of the largest transaction in units.
     pub max_units: u32,
-    /// Period of the use figures in answers, seconds; 0: none.
+    /// Period of the usage reports in nodes' answers, seconds; 0 if nodes send none.
     pub metering_period: f64,
     pub nodes: u32,
     pub zones: u32,
-    /// Logical blocks of one extent.
+    /// Size of an extent in logical blocks.
     pub extent_blocks: u64,
     pub volumes: BTreeMap<u32, Volume>,
     pub band_rules: Vec<BandRule>,
-    /// By volume, then by range; none overlap.
+    /// Sorted by volume and start; the ranges do not overlap.
     pub placements: Vec<Placement>,
-    /// Absent: initiators do not talk.
+    /// Absent if the initiators exchange no datagrams.
     pub fleet: Option<FleetSettings>,
 }
 
 impl Deployment {
-    /// The band of a command that does not say: the first rule that fits, else the first band that reads or writes as
-    /// it does.
+    /// Band of a command that states none: that of the first matching rule, else the first band that reads or writes as
+    /// the command does. `bytes` is the length of its data.
     pub fn band_of(&self, volume: u32, bytes: u32, writes: bool) -> Option<usize> {
-        let inside = |(from, to): (u32, u32), value: u32| (from..=to).contains(&value);
-        let fits = |rule: &&BandRule| {
-            self.writes[rule.band] == writes && inside(rule.volumes, volume) && inside(rule.bytes, bytes)
+        let in_range = |(from, to): (u32, u32), value: u32| (from..=to).contains(&value);
+        let matches = |rule: &&BandRule| {
+            self.writes[rule.band] == writes && in_range(rule.volumes, volume) && in_range(rule.bytes, bytes)
         };
-        let ruled = self.band_rules.iter().find(fits).map(|rule| rule.band);
-        ruled.or_else(|| self.writes.iter().position(|known| *known == writes))
+        let by_rule = self.band_rules.iter().find(matches).map(|rule| rule.band);
+        by_rule.or_else(|| self.writes.iter().position(|band_writes| *band_writes == writes))
     }
 
-    /// Longest time that any caller waits, seconds.
+    /// Longest outer limit of all bands, seconds.
     pub fn max_outer_limit(&self) -> f64 {
         self.outer_limits.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Extent of a volume that a logical block lies in, and the part of the data that holds it.
+    /// The extent of a volume that contains the logical block `slba`, and the block (part of the data) that holds it.
     pub fn extent_and_block(&self, volume: &Volume, slba: u64) -> (u64, i64) {
         let extent = slba / self.extent_blocks;
         (extent, volume.blocks[(extent % volume.blocks.len() as u64) as usize])
     }
 }
 
-/// Most volumes of one file; the core keeps an account of each.
-const MOST_VOLUMES: usize = 100_000;
+/// Maximum number of volumes in a file. The core keeps state for each of them.
+const MAX_VOLUMES: usize = 100_000;
 
-fn positive(place: &str, value: f64) -> Result<(), CheckFailure> {
+fn check_positive(place: &str, value: f64) -> Result<(), CheckFailure> {
     if value > 0.0 {
         return Ok(());
     }
     check_failed(place, value, "must be above 0")
 }
 
-fn band(form: &BandForm, longest_return: f64) -> Result<(Band, rules::Band), CheckFailure> {
-    let at = format!("band {}", form.name);
-    positive(&format!("{at}, due"), form.due)?;
+/// Checks a band and decodes it for the core and for the rules. `max_retry_after` is the longest retry delay that nodes
+/// may advise, seconds.
+fn decode_band(form: &BandForm, max_retry_after: f64) -> Result<(Band, rules::Band), CheckFailure> {
+    let place = format!("band {}", form.name);
+    check_positive(&format!("{place}, due"), form.due)?;
     if form.outer < form.due {
         return check_failed(
-            format!("{at}, outer"),
+            format!("{place}, outer"),
             form.outer,
             format!("must be {} (its due time) or more", form.due),
         );
     }
     if form.outer > 3600.0 {
-        return check_failed(format!("{at}, outer"), form.outer, "3600 s at most, as a timer is");
+        return check_failed(format!("{place}, outer"), form.outer, "3600 s at most, the longest timer");
     }
     let repeat = match form.repeat.as_str() {
         "repeatable" => Repeat::Repeatable,
@@ -433,65 +468,58 @@
     if repeat == Repeat::Tagged && (form.window <= 0.0 || form.scope.is_empty()) {
         let found = format!("window {} and scope '{}'", form.window, form.scope);
         return check_failed(
-            at,
+            place,
             found,
-            "a tagged band states both: who drops its repeats and for how long (rule 2)",
+            "a tagged band states both: the scope in which repeats are dropped, and for how long (rule 2)",
         );
     }
     if repeat != Repeat::Tagged && (form.window > 0.0 || !form.scope.is_empty()) {
-        return check_failed(at, "window or scope", "only a tagged band has them (rule 2)");
+        return check_failed(place, "window or scope", "only a tagged band has them (rule 2)");
     }
-    let scope = match form.scope.as_str() {
+    let dedup_scope = match form.scope.as_str() {
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
         _ => DedupScope::All,
     };
-    if longest_return > form.outer {
+    if max_retry_after > form.outer {
         return check_failed(
             "allow, longest-return",
-            longest_return,
-            format!("{at} waits {} s at most", form.outer),
+            max_retry_after,
+            format!("{place} waits {} s at most", form.outer),
         );
     }
-    let (window, ordered) = (form.window, form.ordered);
-    let core = Band {
-        due: form.due,
-        benefit: form.benefit,
-        repeat,
-        dedup_scope: scope,
-        dedup_window: window,
-        ordered,
-    };
-    let judged = rules::Band {
+    let (dedup_window, ordered) = (form.window, form.ordered);
+    let core = Band { due: form.due, benefit: form.benefit, repeat, dedup_scope, dedup_window, ordered };
+    let rules_band = rules::Band {
         name: form.name.clone(),
         repeat: match repeat {
             Repeat::Repeatable => rules::Repeat::Repeatable,
             Repeat::Tagged => rules::Repeat::Tagged,
             Repeat::OnceOnly => rules::Repeat::OnceOnly,
         },
-        dedup_scope: match scope {
+        dedup_scope: match dedup_scope {
             DedupScope::All => rules::DedupScope::All,
             DedupScope::Zone => rules::DedupScope::Zone,
             DedupScope::Cell => rules::DedupScope::Cell,
         },
-        dedup_window: window,
+        dedup_window,
         ordered,
     };
-    Ok((core, judged))
+    Ok((core, rules_band))
 }
 
-fn plan(form: &PlanForm, most_units: u32) -> Result<Plan, CheckFailure> {
-    let at = format!("plan {}", form.name);
-    if form.limit > 0.0 && form.burst < f64::from(most_units) {
-        let rule = format!("a burst holds the largest transaction, {most_units} units (rule 7)");
-        return check_failed(format!("{at}, burst"), form.burst, rule);
+fn decode_plan(form: &PlanForm, max_units: u32) -> Result<Plan, CheckFailure> {
+    let place = format!("plan {}", form.name);
+    if form.limit > 0.0 && form.burst < f64::from(max_units) {
+        let rule = format!("a burst holds the largest transaction, {max_units} units (rule 7)");
+        return check_failed(format!("{place}, burst"), form.burst, rule);
     }
     if form.limit == 0.0 && (form.burst > 0.0 || form.slack > 0.0) {
-        return check_failed(at, "burst or slack without limit", "state the limit too (rule 7)");
+        return check_failed(place, "burst or slack without limit", "state the limit too (rule 7)");
     }
     if form.limit > 0.0 && form.reservation > form.limit {
         return check_failed(
-            format!("{at}, reservation"),
+            format!("{place}, reservation"),
             form.reservation,
             "not above the plan's limit (rule 7)",
         );
@@ -506,129 +534,138 @@
     })
 }
 
-fn unique<'a>(what: &str, names: impl Iterator<Item = &'a String>) -> Result<(), CheckFailure> {
+fn check_unique<'a>(element: &str, names: impl Iterator<Item = &'a String>) -> Result<(), CheckFailure> {
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return check_failed(format!("{what} {name}"), "the name twice", "each name once");
+            return check_failed(format!("{element} {name}"), "the name twice", "each name once");
         }
     }
     Ok(())
 }
 
-/// Checked ranges, by volume and start.
-fn placements(form: &Form, volumes: &BTreeMap<u32, Volume>) -> Result<Vec<Placement>, CheckFailure> {
-    let mut all = Vec::new();
-    for one in &form.placement {
-        let at = format!("placement of volume {} from {}", one.volume, one.from);
-        let Some(volume) = volumes.get(&one.volume) else {
-            return check_failed(at, format!("volume {}", one.volume), "a volume of this file");
+/// Checks the placements and sorts them by volume and start.
+fn decode_placements(form: &Form, volumes: &BTreeMap<u32, Volume>) -> Result<Vec<Placement>, CheckFailure> {
+    let mut placements = Vec::new();
+    for placement in &form.placement {
+        let place = format!("placement of volume {} from {}", placement.volume, placement.from);
+        let Some(volume) = volumes.get(&placement.volume) else {
+            return check_failed(place, format!("volume {}", placement.volume), "a volume of this file");
         };
-        if one.node >= form.layout.nodes {
+        if placement.node >= form.layout.nodes {
             return check_failed(
-                at,
-                format!("node {}", one.node),
+                place,
+                format!("node {}", placement.node),
                 format!("below the layout's {}", form.layout.nodes),
             );
         }
-        let end = one.from.checked_add(one.blocks).filter(|end| one.blocks > 0 && *end <= volume.size);
+        let end = placement
+            .from
+            .checked_add(placement.blocks)
+            .filter(|end| placement.blocks > 0 && *end <= volume.size);
         if end.is_none() {
             return check_failed(
-                at,
-                format!("{} blocks", one.blocks),
+                place,
+                format!("{} blocks", placement.blocks),
                 format!("within the volume's {}", volume.size),
             );
         }
-        all.push(Placement {
-            volume: one.volume,
-            from: one.from,
-            blocks: one.blocks,
-            node: i64::from(one.node),
+        placements.push(Placement {
+            volume: placement.volume,
+            from: placement.from,
+            blocks: placement.blocks,
+            node: i64::from(placement.node),
         });
     }
-    all.sort_by_key(|one| (one.volume, one.from));
-    for pair in all.windows(2) {
+    placements.sort_by_key(|placement| (placement.volume, placement.from));
+    for pair in placements.windows(2) {
         if pair[0].volume == pair[1].volume && pair[0].from + pair[0].blocks > pair[1].from {
-            let at = format!("placement of volume {} from {}", pair[1].volume, pair[1].from);
-            return check_failed(at, "an overlap", "each block lies on one node");
+            let place = format!("placement of volume {} from {}", pair[1].volume, pair[1].from);
+            return check_failed(place, "an overlap", "each block lies on one node");
         }
     }
-    Ok(all)
+    Ok(placements)
 }
 
-fn talk(talk: &FleetSettings, initiators: u32) -> Result<(), CheckFailure> {
-    for (place, value) in [("period", talk.period), ("wait", talk.wait), ("probe-every", talk.probe_every)] {
-        positive(&format!("fleet, {place}"), value)?;
+fn check_fleet(fleet: &FleetSettings, initiators: u32) -> Result<(), CheckFailure> {
+    for (place, value) in [("period", fleet.period), ("wait", fleet.wait), ("probe-every", fleet.probe_every)]
+    {
+        check_positive(&format!("fleet, {place}"), value)?;
     }
-    if talk.wait >= talk.period {
-        return check_failed("fleet, wait", talk.wait, format!("below the period, {} s", talk.period));
+    if fleet.wait >= fleet.period {
+        return check_failed("fleet, wait", fleet.wait, format!("below the period, {} s", fleet.period));
     }
-    if talk.window < talk.probe_every {
-        let rule = format!("{} s (probe-every) or more: what one does is seen by then", talk.probe_every);
-        return check_failed("fleet, window", talk.window, rule);
+    if fleet.window < fleet.probe_every {
+        let rule = format!(
+            "{} s (probe-every) or more, so that the other members see a probe within it",
+            fleet.probe_every
+        );
+        return check_failed("fleet, window", fleet.window, rule);
     }
     let (mut numbers, mut addresses) = (BTreeMap::new(), BTreeMap::new());
-    for member in &talk.member {
-        let at = format!("fleet, member {}", member.number);
+    for member in &fleet.member {
+        let place = format!("fleet, member {}", member.number);
         if u32::from(member.number) >= initiators {
-            return check_failed(at, member.number, format!("below the layout's {initiators} initiators"));
+            return check_failed(place, member.number, format!("below the layout's {initiators} initiators"));
         }
         if member.weight == 0 {
-            return check_failed(at, "weight 0", "1 or more");
+            return check_failed(place, "weight 0", "1 or more");
         }
         let Ok(address) = member.address.parse::<std::net::SocketAddr>() else {
-            return check_failed(at, &member.address, "an address and port");
+            return check_failed(place, &member.address, "an address and port");
         };
         if numbers.insert(member.number, ()).is_some() || addresses.insert(address, ()).is_some() {
-            return check_failed(at, "number or address twice", "each once");
+            return check_failed(place, "number or address twice", "each once");
         }
     }
     Ok(())
 }
 
+/// Checks a deployment for what the schema cannot express, and decodes it.
 pub(crate) fn decode(form: Form) -> Result<Deployment, CheckFailure> {
-    if let Some(form_of_talk) = &form.fleet {
-        talk(form_of_talk, form.layout.initiators)?;
+    if let Some(fleet) = &form.fleet {
+        check_fleet(fleet, form.layout.initiators)?;
     }
-    unique("band", form.band.iter().map(|band| &band.name))?;
-    unique("plan", form.plan.iter().map(|plan| &plan.name))?;
-    let (allow, figures) = (&form.allow, &form.rules);
+    check_unique("band", form.band.iter().map(|band| &band.name))?;
+    check_unique("plan", form.plan.iter().map(|plan| &plan.name))?;
+    let (allow, rules_form) = (&form.allow, &form.rules);
     if allow.copies {
-        return check_failed("allow, copies", true, "two shots out at once are refused here (rule 2)");
+        return check_failed("allow, copies", true, "two shots in flight at once are not allowed (rule 2)");
     }
-    positive("units, mean", form.units.mean)?;
-    positive("rules, overload-for", figures.overload_for)?;
+    check_positive("units, mean", form.units.mean)?;
+    check_positive("rules, overload-for", rules_form.overload_for)?;
     if form.register.mode == Mode::Asked && form.register.ask_within <= 0.0 {
         return check_failed(
             "register, ask-within",
             form.register.ask_within,
-            "an asked register states it (rule 3)",
+            "required for a register in mode asked (rule 3)",
         );
     }
     let mut bands = Vec::new();
-    let mut judged = Vec::new();
+    let mut rules_bands = Vec::new();
     for form in &form.band {
-        let (core, rule) = band(form, allow.longest_return)?;
+        let (core, rules_band) = decode_band(form, allow.longest_return)?;
         bands.push(core);
-        judged.push(rule);
+        rules_bands.push(rules_band);
     }
-    let plans = form.plan.iter().map(|one| plan(one, form.units.most)).collect::<Result<Vec<_>, _>>()?;
+    let plans =
+        form.plan.iter().map(|plan| decode_plan(plan, form.units.most)).collect::<Result<Vec<_>, _>>()?;
     let (mut volumes, mut limits) = (BTreeMap::new(), BTreeMap::new());
     for group in &form.volumes {
-        let at = format!("volumes from {}", group.first);
+        let place = format!("volumes from {}", group.first);
         let Some(plan) = form.plan.iter().position(|plan| plan.name == group.plan) else {
-            return check_failed(at, format!("plan '{}'", group.plan), "a plan of this file");
+            return check_failed(place, format!("plan '{}'", group.plan), "a plan of this file");
         };
         if group.first == 0 {
-            return check_failed(at, 0, "numbers start at 1: they are namespace ids");
+            return check_failed(place, 0, "numbers start at 1: they are namespace ids");
         }
         if group.nodes > form.layout.nodes || group.initiators > form.layout.initiators {
             let found = format!("{} nodes, {} initiators", group.nodes, group.initiators);
             let (nodes, initiators) = (form.layout.nodes, form.layout.initiators);
-            return check_failed(at, found, format!("at most the layout's {nodes} and {initiators}"));
+            return check_failed(place, found, format!("at most the layout's {nodes} and {initiators}"));
         }
-        if volumes.len() + group.count as usize > MOST_VOLUMES {
-            return check_failed(at, group.count, format!("{MOST_VOLUMES} volumes at most"));
+        if volumes.len() + group.count as usize > MAX_VOLUMES {
+            return check_failed(place, group.count, format!("{MAX_VOLUMES} volumes at most"));
         }
         for id in group.first..group.first.saturating_add(group.count) {
             let nodes = i64::from(form.layout.nodes);
@@ -637,11 +674,14 @@
                 .insert(id, Volume { plan, initiators: group.initiators, blocks, size: group.blocks })
                 .is_some()
             {
-                return check_failed(at, format!("volume {id} twice"), "each volume once");
+                return check_failed(place, format!("volume {id} twice"), "each volume once");
             }
-            let of = &form.plan[plan];
-            if of.limit > 0.0 {
-                limits.insert(id, rules::Limit { rate: of.limit, burst: of.burst, slack: of.slack });
+            let plan_form = &form.plan[plan];
+            if plan_form.limit > 0.0 {
+                limits.insert(
+                    id,
+                    rules::Limit { rate: plan_form.limit, burst: plan_form.burst, slack: plan_form.slack },
+                );
             }
         }
     }
@@ -661,46 +701,46 @@
         }
         band_rules.push(BandRule { band, volumes, bytes });
     }
-    let placements = placements(&form, &volumes)?;
-    let further = figures.further.as_ref().map(|form| (form.share, form.free, form.look_back));
-    if let Some((.., look_back)) = further {
-        positive("rules, further, look-back", look_back)?;
+    let placements = decode_placements(&form, &volumes)?;
+    let retry_budget = rules_form.further.as_ref().map(|form| (form.share, form.free, form.look_back));
+    if let Some((.., look_back)) = retry_budget {
+        check_positive("rules, further, look-back", look_back)?;
     }
-    let asked = form.register.mode == Mode::Asked;
+    let must_poll = form.register.mode == Mode::Asked;
     let core = Settings {
         initiators: f64::from(form.layout.initiators),
         bands,
         plans,
         mean_units: form.units.mean,
-        cold_start_units: figures.young_units,
+        cold_start_units: rules_form.young_units,
         reports_usage: form.units.metering > 0.0,
-        reports_others_usage: form.units.tells_others,
+        reports_others_usage: form.units.reports_others_usage,
         may_cancel: allow.cancel,
         max_shots: allow.shots,
         advises_retry: allow.longest_return > 0.0,
         max_retry_after: allow.longest_return,
-        must_subscribe: asked,
-        // Nodes on NVMe/TCP refuse new commands once they drain, so the core sends them none.
+        must_subscribe: must_poll,
+        // A draining node on NVMe/TCP refuses new commands, so the core sends it none.
         drain_grace: 0.0,
-        start_capacity: figures.start_capacity,
-        warm_up: figures.cold_for,
-        overload_multiple: figures.fall_multiple,
-        overload_window: figures.overload_for,
-        key_quiet_period: figures.key_quiet,
+        start_capacity: rules_form.start_capacity,
+        warm_up: rules_form.cold_for,
+        overload_multiple: rules_form.fall_multiple,
+        overload_window: rules_form.overload_for,
+        key_quiet_period: rules_form.key_quiet,
         earlier_loans_hold: 0.0,
-        retry_budget: further,
+        retry_budget,
     };
     let rule_parameters = rules::Parameters {
-        bands: judged,
+        bands: rules_bands,
         limits,
-        answer_slack: figures.answer_slack,
-        drain_grace: figures.drain_grace,
-        overload_window: figures.overload_for,
-        key_quiet_period: figures.key_quiet,
+        answer_slack: rules_form.answer_slack,
+        drain_grace: rules_form.drain_grace,
+        overload_window: rules_form.overload_for,
+        key_quiet_period: rules_form.key_quiet,
         max_shots: allow.shots,
         copies_allowed: allow.copies,
-        retry_budget: further,
-        poll_within: asked.then_some(form.register.ask_within),
+        retry_budget,
+        poll_within: must_poll.then_some(form.register.ask_within),
         transit: 0.05,
     };
     Ok(Deployment {
--- a/crates/settings/src/deployment/migrate.rs
+++ b/crates/settings/src/deployment/migrate.rs
@@ -1,9 +1,10 @@
-//! An operator's deployment carried over to another shape.
+//! Migration of an operator's deployment to another shape.
 //!
-//! The shape is what the fleet and its contract bring: how the register tells, what is allowed, the rules' figures,
-//! units, the size of the fleet, the bands, and whether plans have limits. It is read from a deployment of that shape.
-//! The operator's own are name, addresses, connections, plans, volumes, band rules, placements and extents. Nothing is
-//! dropped in silence: what cannot be carried over and what was filled in is told, each with place and reason.
+//! The shape is the part of a deployment that depends on the fleet and its contract: the mode of the register, what is
+//! allowed, the parameters of the rules, the units, the size of the fleet, the bands, and whether plans have limits. It
+//! is read from a deployment that has this shape. The name, addresses, connections, plans, volumes, band rules,
+//! placements and extents are taken from the operator's file. Each value that cannot be carried over, and each that is
+//! filled in from the shape, is reported in a [`Note`] with its place and the reason.
 
 use std::fmt;
 use std::fs;
@@ -13,23 +14,25 @@
 use quick_xml::events::Event;
 use quick_xml::se::Serializer;
 use serde::Serialize;
-use thiserror::Error as Failure;
+use thiserror::Error as ThisError;
 
 use super::{decode, BandForm, Form, FurtherForm, Member};
 use crate::{check_schema, load_form, Error};
 
+/// What happened to a value of the old or the new file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteKind {
-    /// The new shape has no place for it.
+    /// The old file states it, and the new shape does not allow it.
     Lost,
-    /// Only the new shape has it, or has another figure.
+    /// Only the new shape states it, or states another value.
     Filled,
 }
 
-/// One thing that differs between the old file and the new: element and attribute, and why.
+/// One difference between the old file and the new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
     pub kind: NoteKind,
+    /// Element and attribute.
     pub place: String,
     pub reason: String,
 }
@@ -44,7 +47,7 @@
     }
 }
 
-/// The new file's text, and what there is to tell of it.
+/// Text of the new file, and its differences from the old one.
 #[derive(Debug)]
 pub struct Migration {
     pub text: String,
@@ -52,23 +55,24 @@
 }
 
 impl Migration {
-    /// Whether all that the old file said stands in the new one.
+    /// Whether everything that the old file states was carried over.
     pub fn is_complete(&self) -> bool {
         self.notes.iter().all(|note| note.kind == NoteKind::Filled)
     }
 
-    /// Whether the old file had the new shape before.
+    /// Whether the old file already had the new shape.
     pub fn is_unchanged(&self) -> bool {
         self.notes.is_empty()
     }
 }
 
-#[derive(Debug, Failure)]
+/// Why the new file was not written.
+#[derive(Debug, ThisError)]
 pub enum WriteError {
-    #[error("{0}: is the file that is read; the old file is never written over")]
+    #[error("{0}: is an input file; the old file is never written over")]
     Input(PathBuf),
-    #[error("{0}: stands already; --force writes over it")]
-    Stands(PathBuf),
+    #[error("{0}: exists already; --force overwrites it")]
+    Exists(PathBuf),
     #[error("{path}: cannot be written: {source}")]
     Io { path: PathBuf, source: std::io::Error },
 }
@@ -81,8 +85,8 @@
         self.0.push(Note { kind, place: place.into(), reason: reason.into() });
     }
 
-    /// The shape's value in place of the old one.
-    fn take<T: PartialEq + fmt::Display>(&mut self, place: &str, old: &mut T, shape: T) {
+    /// Replaces the old value by that of the shape, and notes the change if they differ.
+    fn replace<T: PartialEq + fmt::Display>(&mut self, place: &str, old: &mut T, shape: T) {
         if *old != shape {
             self.add(NoteKind::Filled, place, format!("{shape} by the shape, was {old}"));
             *old = shape;
@@ -90,78 +94,90 @@
     }
 }
 
-/// How little a band may be repeated. A counterpart is never looser: what must not run twice would.
+/// Rank of a band by how strictly repeats are limited; the strictest has the highest. The counterpart of a band must not
+/// rank lower, or commands that must not run twice could be repeated.
 fn strictness(band: &BandForm) -> usize {
     ["repeatable", "tagged", "once-only"].iter().position(|kind| *kind == band.repeat).unwrap_or(2)
 }
 
-/// The shape's band for an old one: of the same name, else of the nearest due time.
+/// The shape's band that replaces an old band: the one of the same name, else the one with the nearest due time by
+/// ratio. It has the same direction and is at least as strict.
 fn counterpart<'a>(old: &BandForm, shape: &'a [BandForm]) -> Option<&'a BandForm> {
-    let fits = |band: &&BandForm| band.writes == old.writes && strictness(band) >= strictness(old);
-    let apart = |band: &BandForm| (band.due.max(1e-9) / old.due.max(1e-9)).ln().abs();
-    let named = shape.iter().filter(fits).find(|band| band.name == old.name);
-    named.or_else(|| shape.iter().filter(fits).min_by(|a, b| apart(a).total_cmp(&apart(b))))
+    let is_allowed = |band: &&BandForm| band.writes == old.writes && strictness(band) >= strictness(old);
+    let due_distance = |band: &BandForm| (band.due.max(1e-9) / old.due.max(1e-9)).ln().abs();
+    let same_name = shape.iter().filter(is_allowed).find(|band| band.name == old.name);
+    same_name.or_else(|| {
+        shape.iter().filter(is_allowed).min_by(|a, b| due_distance(a).total_cmp(&due_distance(b)))
+    })
 }
 
-fn described(band: &BandForm) -> String {
+fn describe(band: &BandForm) -> String {
     let window = if band.window > 0.0 {
         format!(" for {} s in one {}", band.window, band.scope)
     } else {
         String::new()
     };
-    let (way, order) =
+    let (direction, order) =
         (if band.writes { "writes" } else { "reads" }, if band.ordered { ", ordered" } else { "" });
     format!(
-        "{way}, {}{window}{order}, due {} s, outer {} s, benefit {}",
+        "{direction}, {}{window}{order}, due {} s, outer {} s, benefit {}",
         band.repeat, band.due, band.outer, band.benefit
     )
 }
 
-fn bands(old: &mut Form, shape: &Form, notes: &mut Notes) {
-    let before = std::mem::replace(&mut old.band, shape.band.clone());
-    let found: Vec<_> = before.iter().map(|band| (band, counterpart(band, &shape.band))).collect();
-    for (band, now) in &found {
+/// Replaces the bands by those of the shape, and lets band rules refer to the counterparts of their bands.
+fn migrate_bands(old: &mut Form, shape: &Form, notes: &mut Notes) {
+    let old_bands = std::mem::replace(&mut old.band, shape.band.clone());
+    let counterparts: Vec<_> = old_bands.iter().map(|band| (band, counterpart(band, &shape.band))).collect();
+    for (band, new_band) in &counterparts {
         let place = format!("band {}", band.name);
-        match now {
-            Some(now) if *band == *now => {}
-            Some(now) => {
-                let reason = format!("now {} ({}), was {}", now.name, described(now), described(band));
+        match new_band {
+            Some(new_band) if *band == *new_band => {}
+            Some(new_band) => {
+                let reason =
+                    format!("now {} ({}), was {}", new_band.name, describe(new_band), describe(band));
                 notes.add(NoteKind::Filled, place, reason);
             }
             None => {
-                let like = shape.band.iter().find(|known| known.writes == band.writes);
-                let taken = like.map_or("no band, and are refused".into(), |known| {
-                    format!("band {} ({}), which may send them twice", known.name, known.repeat)
+                let same_direction = shape.band.iter().find(|candidate| candidate.writes == band.writes);
+                let accepted_in = same_direction.map_or("no band, and are refused".into(), |fallback| {
+                    format!("band {} ({}), which may send them twice", fallback.name, fallback.repeat)
                 });
                 let reason = format!(
-                    "the shape has none that is as strict ({}); its commands would come in {taken}: keep its callers on \
-                     the old deployment",
-                    described(band)
+                    "the shape has none that is as strict ({}); its commands would be assigned to {accepted_in}: \
+                     keep its callers on the old deployment",
+                    describe(band)
                 );
                 notes.add(NoteKind::Lost, place, reason);
             }
         }
     }
     for band in &shape.band {
-        if !found.iter().any(|(_, now)| now.is_some_and(|now| now.name == band.name)) {
-            let reason = format!("only the shape has it ({})", described(band));
+        if !counterparts
+            .iter()
+            .any(|(_, new_band)| new_band.is_some_and(|new_band| new_band.name == band.name))
+        {
+            let reason = format!("only the shape has it ({})", describe(band));
             notes.add(NoteKind::Filled, format!("band {}", band.name), reason);
         }
     }
     old.band_rule.retain_mut(|rule| {
-        // A rule for a band that is not there is left as it is: the checks refuse it by name.
-        let Some((_, now)) = found.iter().find(|(band, _)| band.name == rule.band) else { return true };
-        match now {
-            Some(now) => rule.band.clone_from(&now.name),
+        // A rule for an unknown band is kept, so that the checks refuse it with its name.
+        let Some((_, new_band)) = counterparts.iter().find(|(band, _)| band.name == rule.band) else {
+            return true;
+        };
+        match new_band {
+            Some(new_band) => rule.band.clone_from(&new_band.name),
             None => {
                 notes.add(NoteKind::Lost, format!("band-rule {}", rule.band), "its band is not carried over")
             }
         }
-        now.is_some()
+        new_band.is_some()
     });
 }
 
-fn plans(old: &mut Form, shape: &Form, notes: &mut Notes) {
+/// Removes the limits of plans if no plan of the shape has one.
+fn migrate_plans(old: &mut Form, shape: &Form, notes: &mut Notes) {
     if shape.plan.iter().any(|plan| plan.limit > 0.0) {
         return;
     }
@@ -175,85 +191,94 @@
     }
 }
 
-/// Volumes and placements within the fleet of the shape.
-fn volumes(old: &mut Form, notes: &mut Notes) {
+/// Reduces volumes to the size of the shape's fleet, and removes placements on nodes that it does not have.
+fn migrate_volumes(old: &mut Form, notes: &mut Notes) {
     for group in &mut old.volumes {
-        let place = |what| format!("volumes of plan {} from {}, {what}", group.plan, group.first);
-        for (what, most, value) in [
+        let place = |attribute| format!("volumes of plan {} from {}, {attribute}", group.plan, group.first);
+        for (attribute, max, value) in [
             ("initiators", old.layout.initiators, &mut group.initiators),
             ("nodes", old.layout.nodes, &mut group.nodes),
         ] {
-            if *value > most {
-                notes.add(NoteKind::Lost, place(what), format!("{value}: the shape has {most}"));
-                *value = most;
+            if *value > max {
+                notes.add(NoteKind::Lost, place(attribute), format!("{value}: the shape has {max}"));
+                *value = max;
             }
         }
     }
     let nodes = old.layout.nodes;
-    old.placement.retain(|range| {
-        if range.node >= nodes {
-            let place = format!("placement of volume {} from {}", range.volume, range.from);
-            notes.add(NoteKind::Lost, place, format!("node {}: the shape has {nodes}, from 0", range.node));
+    old.placement.retain(|placement| {
+        if placement.node >= nodes {
+            let place = format!("placement of volume {} from {}", placement.volume, placement.from);
+            notes.add(
+                NoteKind::Lost,
+                place,
+                format!("node {}: the shape has {nodes}, from 0", placement.node),
+            );
         }
-        range.node < nodes
+        placement.node < nodes
     });
 }
 
-fn carry(old: &mut Form, shape: &Form, notes: &mut Notes) {
-    let mode = |form: &Form| format!("{:?}", form.register.mode).to_lowercase();
+/// Gives the old deployment the new shape, and notes each difference.
+fn apply_shape(old: &mut Form, shape: &Form, notes: &mut Notes) {
+    let mode_name = |form: &Form| format!("{:?}", form.register.mode).to_lowercase();
     if old.register.mode != shape.register.mode {
-        let reason = format!("{} by the shape, was {}", mode(shape), mode(old));
+        let reason = format!("{} by the shape, was {}", mode_name(shape), mode_name(old));
         notes.add(NoteKind::Filled, "register, mode", reason);
         old.register.mode = shape.register.mode;
     }
-    notes.take("register, ask-within", &mut old.register.ask_within, shape.register.ask_within);
-    let (allow, by) = (&mut old.allow, &shape.allow);
-    notes.take("allow, shots", &mut allow.shots, by.shots);
-    notes.take("allow, cancel", &mut allow.cancel, by.cancel);
-    notes.take("allow, copies", &mut allow.copies, by.copies);
-    notes.take("allow, longest-return", &mut allow.longest_return, by.longest_return);
-    let (rules, by) = (&mut old.rules, &shape.rules);
-    notes.take("rules, answer-slack", &mut rules.answer_slack, by.answer_slack);
-    notes.take("rules, drain-grace", &mut rules.drain_grace, by.drain_grace);
-    notes.take("rules, start-capacity", &mut rules.start_capacity, by.start_capacity);
-    notes.take("rules, cold-for", &mut rules.cold_for, by.cold_for);
-    notes.take("rules, fall-multiple", &mut rules.fall_multiple, by.fall_multiple);
-    notes.take("rules, overload-for", &mut rules.overload_for, by.overload_for);
-    notes.take("rules, young-units", &mut rules.young_units, by.young_units);
-    notes.take("rules, key-quiet", &mut rules.key_quiet, by.key_quiet);
-    let told = |further: &Option<FurtherForm>| {
+    notes.replace("register, ask-within", &mut old.register.ask_within, shape.register.ask_within);
+    let (allow, target) = (&mut old.allow, &shape.allow);
+    notes.replace("allow, shots", &mut allow.shots, target.shots);
+    notes.replace("allow, cancel", &mut allow.cancel, target.cancel);
+    notes.replace("allow, copies", &mut allow.copies, target.copies);
+    notes.replace("allow, longest-return", &mut allow.longest_return, target.longest_return);
+    let (rules, target) = (&mut old.rules, &shape.rules);
+    notes.replace("rules, answer-slack", &mut rules.answer_slack, target.answer_slack);
+    notes.replace("rules, drain-grace", &mut rules.drain_grace, target.drain_grace);
+    notes.replace("rules, start-capacity", &mut rules.start_capacity, target.start_capacity);
+    notes.replace("rules, cold-for", &mut rules.cold_for, target.cold_for);
+    notes.replace("rules, fall-multiple", &mut rules.fall_multiple, target.fall_multiple);
+    notes.replace("rules, overload-for", &mut rules.overload_for, target.overload_for);
+    notes.replace("rules, young-units", &mut rules.young_units, target.young_units);
+    notes.replace("rules, key-quiet", &mut rules.key_quiet, target.key_quiet);
+    let describe_budget = |further: &Option<FurtherForm>| {
         further
             .as_ref()
             .map(|form| format!("{} and {} of those taken in {} s", form.free, form.share, form.look_back))
     };
-    match (told(&rules.further), told(&by.further)) {
-        (was, now) if was == now => {}
-        (Some(was), None) => {
+    match (describe_budget(&rules.further), describe_budget(&target.further)) {
+        (old_budget, new_budget) if old_budget == new_budget => {}
+        (Some(old_budget), None) => {
             notes.add(
                 NoteKind::Lost,
                 "rules, further",
-                format!("a budget of {was}: the shape states none (rule 6)"),
+                format!("a budget of {old_budget}: the shape states none (rule 6)"),
             );
         }
-        (was, now) => {
-            let was = was.map_or("none".into(), |was| format!("a budget of {was}"));
-            let reason = format!("a budget of {} by the shape (rule 6), was {was}", now.unwrap_or_default());
+        (old_budget, new_budget) => {
+            let old_budget = old_budget.map_or("none".into(), |budget| format!("a budget of {budget}"));
+            let reason = format!(
+                "a budget of {} by the shape (rule 6), was {old_budget}",
+                new_budget.unwrap_or_default()
+            );
             notes.add(NoteKind::Filled, "rules, further", reason);
         }
     }
-    rules.further.clone_from(&by.further);
-    let (units, by) = (&mut old.units, &shape.units);
-    notes.take("units, mean", &mut units.mean, by.mean);
-    notes.take("units, most", &mut units.most, by.most);
-    notes.take("units, metering", &mut units.metering, by.metering);
-    notes.take("units, tells-others", &mut units.tells_others, by.tells_others);
-    notes.take("layout, initiators", &mut old.layout.initiators, shape.layout.initiators);
-    let most = old.layout.initiators;
-    if let Some(talk) = &mut old.fleet {
-        let before = talk.member.len();
-        talk.member.retain(|member| u32::from(member.number) < most);
-        if talk.member.len() < before {
-            let reason = format!("{} members: the shape has {most} initiators", before - talk.member.len());
+    rules.further.clone_from(&target.further);
+    let (units, target) = (&mut old.units, &shape.units);
+    notes.replace("units, mean", &mut units.mean, target.mean);
+    notes.replace("units, most", &mut units.most, target.most);
+    notes.replace("units, metering", &mut units.metering, target.metering);
+    notes.replace("units, tells-others", &mut units.reports_others_usage, target.reports_others_usage);
+    notes.replace("layout, initiators", &mut old.layout.initiators, shape.layout.initiators);
+    let max_members = old.layout.initiators;
+    if let Some(fleet) = &mut old.fleet {
+        let old_count = fleet.member.len();
+        fleet.member.retain(|member| u32::from(member.number) < max_members);
+        if fleet.member.len() < old_count {
+            let reason =
+                format!("{} members: the shape has {max_members} initiators", old_count - fleet.member.len());
             notes.add(NoteKind::Lost, "fleet, member", reason);
         }
     }
@@ -262,30 +287,31 @@
             "their extents lie on other nodes of another number of them: data is copied before the start";
         notes.add(NoteKind::Filled, "volumes", reason);
     }
-    notes.take("layout, nodes", &mut old.layout.nodes, shape.layout.nodes);
-    notes.take("layout, zones", &mut old.layout.zones, shape.layout.zones);
-    bands(old, shape, notes);
-    plans(old, shape, notes);
-    volumes(old, notes);
+    notes.replace("layout, nodes", &mut old.layout.nodes, shape.layout.nodes);
+    notes.replace("layout, zones", &mut old.layout.zones, shape.layout.zones);
+    migrate_bands(old, shape, notes);
+    migrate_plans(old, shape, notes);
+    migrate_volumes(old, notes);
 }
 
-/// Comments before the root, which stay; the number of those inside it, which a rewritten file has no place for.
+/// The comments before the root element, which are kept, and the number of those inside it, which are lost when the file
+/// is rewritten.
 fn comments(text: &str) -> (Vec<String>, usize) {
     let mut reader = quick_xml::Reader::from_str(text);
-    let (mut before, mut inside, mut begun) = (Vec::new(), 0, false);
+    let (mut before, mut inside, mut in_root) = (Vec::new(), 0, false);
     loop {
         match reader.read_event() {
-            Ok(Event::Comment(_)) if begun => inside += 1,
+            Ok(Event::Comment(_)) if in_root => inside += 1,
             Ok(Event::Comment(comment)) => before.push(comment.to_string()),
-            Ok(Event::Start(_)) => begun = true,
+            Ok(Event::Start(_)) => in_root = true,
             Ok(Event::Eof) | Err(_) => return (before, inside),
             Ok(_) => {}
         }
     }
 }
 
-/// The text of a file of this form, without its comments.
-fn written(form: &Form, path: &Path) -> Result<String, Error> {
+/// Serializes a deployment as XML without comments.
+fn serialize(form: &Form, path: &Path) -> Result<String, Error> {
     let mut body = String::new();
     let mut writer = Serializer::new(&mut body);
     writer.indent(' ', 2);
@@ -293,42 +319,44 @@
     Ok(body)
 }
 
-/// The text of the deployment at `path` with a fleet of so many members on loopback addresses of their own, all of one
-/// weight: to measure a fleet at another size.
+/// Returns the text of the deployment at `path` with a fleet of `members` members, to measure a fleet of another size.
+/// Each member has a loopback address of its own, and all have the same weight.
 pub fn resize_fleet(path: &Path, members: u16) -> Result<String, Error> {
     let (mut form, _): (Form, _) = load_form(path, "deployment")?;
     form.layout.initiators = u32::from(members);
-    let Some(talk) = &mut form.fleet else {
+    let Some(fleet) = &mut form.fleet else {
         let (place, found) = ("fleet".into(), "none".into());
         return Err(Error::Check {
             path: path.into(),
             place,
             found,
-            rule: "a deployment whose initiators talk".into(),
+            rule: "a deployment with a fleet".into(),
         });
     };
     let address = |number: u16| {
         let [high, low] = (number + 1).to_be_bytes();
         format!("127.1.{high}.{low}:7300")
     };
-    talk.member = (0..members).map(|number| Member { number, address: address(number), weight: 1 }).collect();
+    fleet.member =
+        (0..members).map(|number| Member { number, address: address(number), weight: 1 }).collect();
     for group in &mut form.volumes {
         group.initiators = group.initiators.min(u32::from(members));
     }
     decode(form.clone()).map_err(|failure| failure.in_file(path))?;
-    written(&form, path)
+    serialize(&form, path)
 }
 
-/// The counterpart of `old` in the shape of `shape`, checked as at start. Errors name file, place and rule.
+/// Migrates the deployment at `old` to the shape of the deployment at `shape`. Both files and the result are checked as
+/// when a gateway starts. Errors name the file, the place and the rule.
 pub fn migrate(old: &Path, shape: &Path) -> Result<Migration, Error> {
     let (mut form, text): (Form, _) = load_form(old, "deployment")?;
-    // A file that could not be started from is refused before any of it is carried over.
+    // A file with which a gateway could not start is refused before the migration.
     decode(form.clone()).map_err(|failure| failure.in_file(old))?;
-    let (by, _): (Form, _) = load_form(shape, "deployment")?;
-    decode(by.clone()).map_err(|failure| failure.in_file(shape))?;
+    let (shape_form, _): (Form, _) = load_form(shape, "deployment")?;
+    decode(shape_form.clone()).map_err(|failure| failure.in_file(shape))?;
     let mut notes = Notes::default();
     let (before, inside) = comments(&text);
-    carry(&mut form, &by, &mut notes);
+    apply_shape(&mut form, &shape_form, &mut notes);
     if inside > 0 {
         notes.add(
             NoteKind::Lost,
@@ -336,7 +364,7 @@
             format!("{inside} inside the deployment: only those before it are kept"),
         );
     }
-    let body = written(&form, old)?;
+    let body = serialize(&form, old)?;
     let before: String = before.iter().map(|comment| format!("<!--{comment}-->\n")).collect();
     let text = format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{before}{body}\n");
     check_schema(old, &text, "deployment")?;
@@ -344,32 +372,34 @@
     Ok(Migration { text, notes: notes.0 })
 }
 
-/// Writes to the side and puts the file in place when whole, so that a kill or a full disk leaves nothing half
-/// written. Without `force` another's file is left alone, also one that appears meanwhile.
+/// Writes the text to a temporary file beside `output` and then moves it into place, so that a kill or a full disk leaves
+/// no incomplete file. Without `force` an existing file is not replaced, even if it is created during the write.
 pub fn write(text: &str, inputs: &[&Path], output: &Path, force: bool) -> Result<(), WriteError> {
-    let real = |path: &Path| fs::canonicalize(path).ok();
-    if real(output).is_some_and(|at| inputs.iter().any(|input| real(input).as_ref() == Some(&at))) {
+    let canonical = |path: &Path| fs::canonicalize(path).ok();
+    if canonical(output)
+        .is_some_and(|path| inputs.iter().any(|input| canonical(input).as_ref() == Some(&path)))
+    {
         return Err(WriteError::Input(output.into()));
     }
     if !force && output.symlink_metadata().is_ok() {
-        return Err(WriteError::Stands(output.into()));
+        return Err(WriteError::Exists(output.into()));
     }
-    let io = |source| WriteError::Io { path: output.into(), source };
+    let io_error = |source| WriteError::Io { path: output.into(), source };
     let Some(name) = output.file_name() else {
-        return Err(io(std::io::Error::other("not the name of a file")));
+        return Err(io_error(std::io::Error::other("not the name of a file")));
     };
-    let beside = output.with_file_name(format!(".{}.{}.part", name.to_string_lossy(), std::process::id()));
-    let whole = || {
-        let mut file = fs::File::create(&beside)?;
+    let temporary = output.with_file_name(format!(".{}.{}.part", name.to_string_lossy(), std::process::id()));
+    let write_and_move = || {
+        let mut file = fs::File::create(&temporary)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
         if force {
-            fs::rename(&beside, output)
+            fs::rename(&temporary, output)
         } else {
-            fs::hard_link(&beside, output)
+            fs::hard_link(&temporary, output)
         }
     };
-    let done = whole();
-    let _ = fs::remove_file(&beside);
-    done.map_err(io)
+    let result = write_and_move();
+    let _ = fs::remove_file(&temporary);
+    result.map_err(io_error)
 }
