--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -164,7 +164,7 @@
             if !outcome.struck.is_empty() {
                 let fault_counts =
                     outcome.struck.iter().map(|(kind, occurrences)| format!("{kind} {occurrences}"));
-                print_line!("link faults injected: {}", fault_counts.collect::<Vec<_>>().join(", "));
+                print_line!("faults of links struck: {}", fault_counts.collect::<Vec<_>>().join(", "));
             }
             if gateway_counts.len() < day.fleet.gateways as usize {
                 print_line!(
