--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the gateway works with: targets, the node register, clients. Each has faults that are
-//! switched on and off by time, and writes down what crossed its sockets.
+//! Stand-ins for the peers of a gateway: targets, the node register, clients, and the links between processes. Their
+//! faults are switched on and off while they run. Each stand-in writes the traffic on its sockets to the record.
 
 pub mod client;
 pub mod links;
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -1,73 +1,90 @@
-//! What a target does with its work, without I/O or clock: cores, a queue in turn of arrival with a bound, runs
-//! that cost less, put-off work of writes, a start at part of its capacity, and falling over when pushed.
+//! Model of the work of a target, without I/O or clock. It has several cores, a bounded first-in-first-out queue,
+//! cheaper work on recently used extents, deferred work of writes, reduced capacity after a cold start, and a crash
+//! when a cold target is overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Settings of one target. Times in seconds.
+/// Settings of one target; times in seconds.
 #[derive(Clone, Debug)]
 pub struct ModelConfig {
+    /// Transactions that are executed at the same time.
     pub cores: usize,
-    /// Node time of one random unit on one core.
+    /// Time that one core works on one unit outside the recent extents.
     pub unit_time: f64,
+    /// Factor on the work of a transaction on a recent extent.
     pub recent_extent_factor: f64,
-    /// Extents that count as just taken.
+    /// Number of last used extents that count as recent.
     pub recent_extents: usize,
-    /// Part of a write's work that is put off, and how often it is done in one go.
+    /// Share of the work of a write that is deferred to the next flush.
     pub deferred_write_share: f64,
+    /// Time between two flushes; a flush does all deferred work at once.
     pub flush_interval: f64,
-    /// Transactions held, those at work included.
+    /// Maximum number of outstanding transactions, the running ones included.
     pub queue_capacity: usize,
+    /// Share of the full capacity that a cold target has at its start.
     pub start_capacity: f64,
+    /// Time from a cold start until the full capacity is reached; capacity rises linearly.
     pub warm_up: f64,
+    /// A cold target crashes when the units received within `overload_window` exceed this multiple of the units that
+    /// it can execute in that time, and exceed `cold_start_units`.
     pub overload_multiple: f64,
+    /// Length of the sliding window over which received units are summed.
     pub overload_window: f64,
+    /// Units within `overload_window` that a cold target survives whatever its capacity.
     pub cold_start_units: f64,
-    /// A cancel or a broken connection stops running work; waiting work is dropped either way.
+    /// Whether a cancellation or a lost connection stops running work; queued work is dropped in both cases.
     pub cancel_stops_running: bool,
 }
 
+/// One transaction as the model sees it.
 #[derive(Clone, Debug)]
 pub struct Job<T> {
     pub units: f64,
     pub extent: u64,
     pub writes: bool,
-    /// Factor on its work, drawn by the caller.
+    /// Random factor on the work, drawn by the caller.
     pub work_factor: f64,
+    /// Data of the caller, returned with the completed job.
     pub payload: T,
 }
 
+/// Result of [`NodeModel::submit`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     Accepted,
-    /// The queue is full.
+    /// Refused because the queue is full.
     QueueFull,
-    /// This was the push that a cold target falls over from.
+    /// This arrival overloaded a cold target, which crashed and dropped all its work.
     Overloaded,
-    /// It lies on the floor.
+    /// Ignored because the target has crashed.
     Down,
 }
 
-/// A target at work. Jobs are named by numbers that [`NodeModel::submit`] gives.
+/// State of one target. A job is identified by the number that [`NodeModel::submit`] returns.
 #[derive(Debug)]
 pub struct NodeModel<T> {
     config: ModelConfig,
-    /// 0: warm from the start.
-    started: f64,
+    /// Start time; used only for a cold target.
+    started_at: f64,
     cold: bool,
     down: bool,
-    next: u64,
-    waiting: VecDeque<(u64, Job<T>)>,
+    last_number: u64,
+    queued: VecDeque<(u64, Job<T>)>,
+    /// Completion time and job, by number.
     running: BTreeMap<u64, (f64, Job<T>)>,
-    recent: VecDeque<u64>,
+    /// Recently used extents, the latest first.
+    recent_extents: VecDeque<u64>,
+    /// Deferred work, seconds of one core; the next flush divides it among all cores.
     deferred_work: f64,
     flush_at: f64,
-    /// Until when no core does client work: a flush, or a scripted pause.
+    /// End of the current flush or scripted pause, during which no core executes transactions.
     stopped_until: f64,
+    /// Time and units of each arrival within the overload window.
     arrived: VecDeque<(f64, f64)>,
     arrived_units: f64,
-    /// Scripted: work takes this many times as long.
+    /// Factor on the duration of all work, set by a fault; 1 without a fault.
     pub slowdown: f64,
-    /// Recent service time without waiting.
+    /// Exponential moving average of the execution time without queueing, seconds.
     pub mean_service_time: f64,
 }
 
@@ -77,13 +94,13 @@
         let mean_service_time = config.unit_time;
         NodeModel {
             config,
-            started: now,
+            started_at: now,
             cold,
             down: false,
-            next: 0,
-            waiting: VecDeque::new(),
+            last_number: 0,
+            queued: VecDeque::new(),
             running: BTreeMap::new(),
-            recent: VecDeque::new(),
+            recent_extents: VecDeque::new(),
             deferred_work: 0.0,
             flush_at,
             stopped_until: now,
@@ -94,89 +111,94 @@
         }
     }
 
-    /// Share of its capacity that it has at this moment.
+    /// Share of the full capacity that is available at `now`, from 0 to 1.
     pub fn capacity_share(&self, now: f64) -> f64 {
         if !self.cold || self.config.warm_up <= 0.0 {
             return 1.0;
         }
-        let part = ((now - self.started) / self.config.warm_up).clamp(0.0, 1.0);
-        self.config.start_capacity + (1.0 - self.config.start_capacity) * part
+        let warmed = ((now - self.started_at) / self.config.warm_up).clamp(0.0, 1.0);
+        self.config.start_capacity + (1.0 - self.config.start_capacity) * warmed
     }
 
+    /// Whether the target has crashed.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
+    /// Number of queued and running jobs.
     pub fn outstanding(&self) -> usize {
-        self.waiting.len() + self.running.len()
+        self.queued.len() + self.running.len()
     }
 
-    /// Every arrival adds pressure, also one that is turned away.
-    fn press(&mut self, now: f64, units: f64) -> bool {
+    /// Counts an arrival and returns whether it overloads a cold target. Arrivals that are refused count as well.
+    fn is_overloaded_by(&mut self, now: f64, units: f64) -> bool {
         self.arrived.push_back((now, units));
         self.arrived_units += units;
-        while let Some((at, units)) = self.arrived.front().copied() {
-            if at > now - self.config.overload_window {
+        while let Some((arrived_at, units)) = self.arrived.front().copied() {
+            if arrived_at > now - self.config.overload_window {
                 break;
             }
             self.arrived_units -= units;
             self.arrived.pop_front();
         }
         let capacity_share = self.capacity_share(now);
-        let can =
+        let capacity_units =
             self.config.cores as f64 / self.config.unit_time * capacity_share * self.config.overload_window;
         capacity_share < 1.0
-            && self.arrived_units > (self.config.overload_multiple * can).max(self.config.cold_start_units)
+            && self.arrived_units
+                > (self.config.overload_multiple * capacity_units).max(self.config.cold_start_units)
     }
 
-    /// An arrival; the job's number where it is held.
+    /// Submits a job. The number identifies the job if it was accepted, and is 0 otherwise.
     pub fn submit(&mut self, now: f64, job: Job<T>) -> (Admission, u64) {
         if self.down {
             return (Admission::Down, 0);
         }
-        if self.press(now, job.units) {
+        if self.is_overloaded_by(now, job.units) {
             self.down = true;
-            self.waiting.clear();
+            self.queued.clear();
             self.running.clear();
             return (Admission::Overloaded, 0);
         }
         if self.outstanding() >= self.config.queue_capacity {
             return (Admission::QueueFull, 0);
         }
-        self.next += 1;
-        self.waiting.push_back((self.next, job));
-        self.begin(now);
-        (Admission::Accepted, self.next)
+        self.last_number += 1;
+        self.queued.push_back((self.last_number, job));
+        self.start_queued(now);
+        (Admission::Accepted, self.last_number)
     }
 
-    fn begin(&mut self, now: f64) {
+    /// Starts queued jobs on idle cores.
+    fn start_queued(&mut self, now: f64) {
         while self.running.len() < self.config.cores {
-            let Some((number, job)) = self.waiting.pop_front() else { return };
-            let run = self.recent.contains(&job.extent);
-            self.recent.retain(|known| *known != job.extent);
-            self.recent.push_front(job.extent);
-            self.recent.truncate(self.config.recent_extents);
+            let Some((number, job)) = self.queued.pop_front() else { return };
+            let is_recent = self.recent_extents.contains(&job.extent);
+            self.recent_extents.retain(|extent| *extent != job.extent);
+            self.recent_extents.push_front(job.extent);
+            self.recent_extents.truncate(self.config.recent_extents);
             let work = job.units * self.config.unit_time * job.work_factor;
-            let work = if run { work * self.config.recent_extent_factor } else { work };
-            let later = if job.writes { work * self.config.deferred_write_share } else { 0.0 };
-            self.deferred_work += later;
-            let time = (work - later) * self.slowdown / self.capacity_share(now);
-            self.mean_service_time = 0.8 * self.mean_service_time + 0.2 * time;
-            self.running.insert(number, (now.max(self.stopped_until) + time, job));
+            let work = if is_recent { work * self.config.recent_extent_factor } else { work };
+            let deferred = if job.writes { work * self.config.deferred_write_share } else { 0.0 };
+            self.deferred_work += deferred;
+            let duration = (work - deferred) * self.slowdown / self.capacity_share(now);
+            self.mean_service_time = 0.8 * self.mean_service_time + 0.2 * duration;
+            self.running.insert(number, (now.max(self.stopped_until) + duration, job));
         }
     }
 
-    /// Work stands still for this long, from now.
+    /// Stops all cores for `length` seconds from `now`; running jobs complete later by the added time.
     pub fn pause(&mut self, now: f64, length: f64) {
         let until = (now + length).max(self.stopped_until);
         let shift = until - self.stopped_until.max(now);
         self.stopped_until = until;
-        self.running.values_mut().for_each(|(done, _)| *done += shift);
+        self.running.values_mut().for_each(|(completes_at, _)| *completes_at += shift);
     }
 
-    /// When to call [`NodeModel::take_completed`] next.
+    /// Time at which [`NodeModel::take_completed`] is to be called next.
     pub fn next_event_at(&self) -> f64 {
-        let first = self.running.values().map(|(done, _)| *done).fold(f64::INFINITY, f64::min);
+        let first =
+            self.running.values().map(|(completes_at, _)| *completes_at).fold(f64::INFINITY, f64::min);
         if self.deferred_work > 0.0 {
             first.min(self.flush_at)
         } else {
@@ -184,9 +206,9 @@
         }
     }
 
-    /// Jobs that are done by now, in the order in which they were.
+    /// Removes and returns the jobs that are completed at `now`, in order of completion; starts queued jobs.
     pub fn take_completed(&mut self, now: f64) -> Vec<(u64, Job<T>)> {
-        let mut all = Vec::new();
+        let mut completed = Vec::new();
         loop {
             if now >= self.flush_at {
                 let length = self.deferred_work * self.slowdown / self.config.cores as f64;
@@ -196,25 +218,27 @@
                     self.pause(now, length);
                 }
             }
-            let first = self.running.iter().min_by(|one, other| one.1 .0.total_cmp(&other.1 .0));
-            let Some(number) = first.filter(|(_, (done, _))| *done <= now).map(|(number, _)| *number) else {
-                return all;
+            let first = self.running.iter().min_by(|left, right| left.1 .0.total_cmp(&right.1 .0));
+            let Some(number) =
+                first.filter(|(_, (completes_at, _))| *completes_at <= now).map(|(number, _)| *number)
+            else {
+                return completed;
             };
-            let (at, job) = self.running.remove(&number).unwrap();
-            all.push((number, job));
-            self.begin(at.max(now));
+            let (completed_at, job) = self.running.remove(&number).unwrap();
+            completed.push((number, job));
+            self.start_queued(completed_at.max(now));
         }
     }
 
-    /// Nobody waits for this job. True where it is gone; false where it goes on.
+    /// Cancels a job. Returns whether it was removed; otherwise it continues or is unknown.
     pub fn cancel(&mut self, now: f64, number: u64) -> bool {
-        if let Some(at) = self.waiting.iter().position(|(known, _)| *known == number) {
-            self.waiting.remove(at);
+        if let Some(index) = self.queued.iter().position(|(queued, _)| *queued == number) {
+            self.queued.remove(index);
             return true;
         }
         let stops = self.config.cancel_stops_running && self.running.remove(&number).is_some();
         if stops {
-            self.begin(now);
+            self.start_queued(now);
         }
         stops
     }
@@ -224,7 +248,7 @@
 mod tests {
     use super::*;
 
-    fn figures() -> ModelConfig {
+    fn config() -> ModelConfig {
         ModelConfig {
             cores: 1,
             unit_time: 0.01,
@@ -247,45 +271,47 @@
     }
 
     #[test]
-    fn turn_of_arrival_runs_cost_less_and_the_queue_has_a_bound() {
-        let mut node = NodeModel::new(0.0, false, figures());
-        let taken: Vec<_> = [1, 2, 1, 3, 4].map(|extent| node.submit(0.0, job(extent, false)).0).into();
-        assert_eq!(taken[3..], [Admission::Accepted, Admission::QueueFull]);
+    fn jobs_run_in_order_of_arrival_recent_extents_cost_less_and_the_queue_is_bounded() {
+        let mut node = NodeModel::new(0.0, false, config());
+        let admissions: Vec<_> = [1, 2, 1, 3, 4].map(|extent| node.submit(0.0, job(extent, false)).0).into();
+        assert_eq!(admissions[3..], [Admission::Accepted, Admission::QueueFull]);
         assert!(node.take_completed(0.0099).is_empty());
-        let order: Vec<_> = [0.0101, 0.0202, 0.0253, 0.0354].map(|at| node.take_completed(at).len()).into();
-        assert_eq!(order, [1, 1, 1, 1]);
+        let completed: Vec<_> =
+            [0.0101, 0.0202, 0.0253, 0.0354].map(|now| node.take_completed(now).len()).into();
+        assert_eq!(completed, [1, 1, 1, 1]);
     }
 
     #[test]
-    fn a_cold_node_falls_past_its_multiple_and_not_before() {
-        // 100 units a second warm, 20 at the start: 40 within a second is the most.
-        let mut node = NodeModel::new(0.0, true, ModelConfig { queue_capacity: 1000, ..figures() });
-        assert!((0..40).all(|at| node.submit(0.001 * at as f64, job(at, false)).0 == Admission::Accepted));
+    fn a_cold_node_crashes_above_its_overload_multiple_and_not_below() {
+        // The node executes 100 units a second when warm and 20 at its start, so it survives 40 within a second.
+        let mut node = NodeModel::new(0.0, true, ModelConfig { queue_capacity: 1000, ..config() });
+        assert!((0..40)
+            .all(|extent| node.submit(0.001 * extent as f64, job(extent, false)).0 == Admission::Accepted));
         let mut last = Admission::Accepted;
-        for at in 0..4 {
-            last = node.submit(0.05, job(at, false)).0;
+        for extent in 0..4 {
+            last = node.submit(0.05, job(extent, false)).0;
             if last == Admission::Overloaded {
                 break;
             }
         }
         assert_eq!(last, Admission::Overloaded);
         assert_eq!(node.submit(0.06, job(1, false)).0, Admission::Down);
-        let mut warm = NodeModel::new(0.0, false, ModelConfig { queue_capacity: 1000, ..figures() });
-        assert!((0..400).all(|at| warm.submit(0.0, job(at, false)).0 == Admission::Accepted));
+        let mut warm = NodeModel::new(0.0, false, ModelConfig { queue_capacity: 1000, ..config() });
+        assert!((0..400).all(|extent| warm.submit(0.0, job(extent, false)).0 == Admission::Accepted));
     }
 
     #[test]
-    fn put_off_work_is_done_in_one_go_and_a_pause_moves_what_runs() {
+    fn a_flush_does_all_deferred_work_and_a_pause_delays_running_jobs() {
         let mut node = NodeModel::new(
             0.0,
             false,
-            ModelConfig { deferred_write_share: 0.5, flush_interval: 0.02, ..figures() },
+            ModelConfig { deferred_write_share: 0.5, flush_interval: 0.02, ..config() },
         );
         node.submit(0.0, job(1, true));
         assert_eq!(node.take_completed(0.0051).len(), 1);
         node.take_completed(0.0201);
         node.submit(0.0202, job(2, false));
-        assert!(node.take_completed(0.0302).is_empty(), "the flush of 5 ms comes first");
+        assert!(node.take_completed(0.0302).is_empty(), "the flush of 5 ms runs before the job");
         assert_eq!(node.take_completed(0.0352).len(), 1);
         node.submit(0.04, job(3, false));
         node.pause(0.045, 1.0);
@@ -294,13 +320,13 @@
     }
 
     #[test]
-    fn a_cancel_drops_what_waits_and_stops_what_runs_only_where_it_does() {
+    fn a_cancel_drops_queued_jobs_and_stops_running_ones_only_if_set() {
         for stops in [true, false] {
             let mut node =
-                NodeModel::new(0.0, false, ModelConfig { cancel_stops_running: stops, ..figures() });
-            let (one, two) = (node.submit(0.0, job(1, false)).1, node.submit(0.0, job(2, false)).1);
-            assert!(node.cancel(0.001, two));
-            assert_eq!(node.cancel(0.001, one), stops);
+                NodeModel::new(0.0, false, ModelConfig { cancel_stops_running: stops, ..config() });
+            let (running, queued) = (node.submit(0.0, job(1, false)).1, node.submit(0.0, job(2, false)).1);
+            assert!(node.cancel(0.001, queued));
+            assert_eq!(node.cancel(0.001, running), stops);
             assert_eq!(node.take_completed(1.0).len(), usize::from(!stops));
         }
     }
--- a/crates/standins/src/runtime.rs
+++ b/crates/standins/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a thread with an executor of its own that ends when told, and small tools of it.
+//! Parts that all stand-ins use: a thread with a task executor, output buffers, and accepting and reading connections.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -14,30 +14,31 @@
 use async_io::{Async, Timer};
 use futures_lite::future::yield_now;
 
-/// A running stand-in. Dropping it ends it: its sockets are closed at once, as a killed process's are.
+/// Thread and executor of a running stand-in. Dropping it stops the thread and closes its sockets at once, as the
+/// sockets of a killed process are.
 pub struct Runtime {
-    /// Dropped to end it.
+    /// Dropping the sender stops the executor.
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Runtime {
-    /// Starts a thread that runs what `make` spawns on its executor until it is told to end.
-    pub fn start(name: &str, make: impl FnOnce(&Rc<LocalExecutor<'static>>) + Send + 'static) -> Self {
+    /// Starts a thread that runs the tasks that `spawn_tasks` puts on the executor, until this value is dropped.
+    pub fn start(name: &str, spawn_tasks: impl FnOnce(&Rc<LocalExecutor<'static>>) + Send + 'static) -> Self {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let run = move || {
             let executor = Rc::new(LocalExecutor::new());
-            make(&executor);
+            spawn_tasks(&executor);
             let _ = async_io::block_on(executor.run(stopped.recv()));
         };
         let thread = std::thread::Builder::new().name(name.into()).spawn(run).expect("a thread");
         Runtime { stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Runs on this thread until `until` is done.
-    pub fn run_here(make: impl FnOnce(&Rc<LocalExecutor<'static>>), until: impl Future<Output = ()>) {
+    /// Runs the tasks on the calling thread until `until` completes.
+    pub fn run_here(spawn_tasks: impl FnOnce(&Rc<LocalExecutor<'static>>), until: impl Future<Output = ()>) {
         let executor = Rc::new(LocalExecutor::new());
-        make(&executor);
+        spawn_tasks(&executor);
         async_io::block_on(executor.run(until));
     }
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Output of one connection: bytes pile up to a bound and leave as the kernel takes them.
+/// Output of one connection that the kernel has not accepted yet. The caller bounds its size.
 #[derive(Default)]
 pub struct OutputBuffer {
     bytes: Vec<u8>,
@@ -59,6 +60,7 @@
 }
 
 impl OutputBuffer {
+    /// Appends `bytes` and leaves them empty.
     pub fn append(&mut self, bytes: &mut Vec<u8>) {
         if self.sent == self.bytes.len() {
             self.bytes.clear();
@@ -67,11 +69,12 @@
         self.bytes.append(bytes);
     }
 
+    /// Number of bytes that are not written to the socket yet.
     pub fn unsent_bytes(&self) -> usize {
         self.bytes.len() - self.sent
     }
 
-    /// True when all is out.
+    /// Writes until the kernel accepts no more. Returns whether the buffer is empty.
     pub fn flush(&mut self, mut stream: &TcpStream) -> io::Result<bool> {
         while self.sent < self.bytes.len() {
             match stream.write(&self.bytes[self.sent..]) {
@@ -86,17 +89,17 @@
     }
 }
 
-/// A connection, read and written by tasks of one executor.
+/// A connection that several tasks of one executor read and write.
 pub type Stream = Rc<Async<TcpStream>>;
 
-/// Serves every connection that comes, each in a task of its own; what `opened` gives no number is closed. Ends with
-/// the executor, which it does not keep alive.
+/// Accepts connections and runs `serve` for each in a task of its own. A connection that gets no number from `opened`
+/// is closed. The accepting task holds no strong reference to the executor and ends with it.
 pub fn serve_connections<S: 'static, F: Future<Output = ()> + 'static>(
     executor: &Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, state: Rc<RefCell<S>>,
     opened: fn(&Rc<RefCell<S>>, Stream) -> Option<u64>, serve: fn(Rc<RefCell<S>>, u64, Stream) -> F,
 ) {
     let weak = Rc::downgrade(executor);
-    let all = async move {
+    let accept_loop = async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 Timer::after(Duration::from_millis(20)).await;
@@ -109,32 +112,32 @@
             }
         }
     };
-    executor.spawn(all).detach();
+    executor.spawn(accept_loop).detach();
 }
 
-/// Number of the gateway in a host name that ends with it; 0 for a host of another kind.
-pub fn gateway_of(host: &str) -> u32 {
-    host.rsplit(':').next().and_then(|number| number.parse().ok()).unwrap_or(0)
+/// Number of the gateway, from the end of its host NQN; 0 if the NQN does not end with a number.
+pub fn gateway_of(host_nqn: &str) -> u32 {
+    host_nqn.rsplit(':').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// Reads until the peer closes or `take` says that it is enough.
+/// Reads until the peer closes the connection or `receive` returns false.
 pub async fn read_until_closed(
-    stream: &Async<TcpStream>, mut take: impl FnMut(&[u8]) -> bool,
+    stream: &Async<TcpStream>, mut receive: impl FnMut(&[u8]) -> bool,
 ) -> io::Result<()> {
     let buffer = Rc::new(RefCell::new(vec![0; 64 << 10]));
     loop {
-        let read = {
-            let mut direct = stream.get_ref();
+        let keep_reading = {
+            let mut socket = stream.get_ref();
             let mut buffer = buffer.borrow_mut();
-            match direct.read(&mut buffer) {
+            match socket.read(&mut buffer) {
                 Ok(0) => return Ok(()),
-                Ok(count) => Some(take(&buffer[..count])),
+                Ok(count) => Some(receive(&buffer[..count])),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => Some(true),
                 Err(error) => return Err(error),
             }
         };
-        match read {
+        match keep_reading {
             Some(false) => return Ok(()),
             Some(true) => yield_now().await,
             None => stream.readable().await?,
@@ -142,5 +145,5 @@
     }
 }
 
-/// Shared with a running stand-in and changed from outside, by scripts.
+/// State of a running stand-in that is also read or changed from outside its thread.
 pub type SharedMutex<T> = Arc<std::sync::Mutex<T>>;
