--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -1,7 +1,8 @@
-//! A relay for every ordered pair of processes: datagrams between members of a fleet, connections of gateways to
-//! nodes and the register. Faults of links are switched on it, and it writes down what members tell each other.
+//! Relays for the links between processes: datagrams between members of a fleet, and connections of gateways to nodes
+//! and to the register. Faults of links are switched on them while they run, and they record the reports that members
+//! send to each other.
 //!
-//! Each member has one address at the relay that all others send to; who sent is told by the sender's own address.
+//! Each member has one relay address, to which all other members send. The sender is identified by its source address.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::future::Future;
@@ -24,27 +25,31 @@
 
 use crate::runtime::Runtime;
 
-/// Pieces of one direction of a connection that are on their way, and their size, bytes.
-const MOST_PIECES: usize = 64;
-const PIECE: usize = 16 << 10;
-/// Datagrams that are held back for later at a time; more go at once.
-const MOST_LATE: usize = 8192;
-/// How often a connection looks whether its link still stands, seconds.
-const LOOK: f64 = 0.02;
-/// How much later a reordered datagram may come, seconds.
-const BEHIND: f64 = 0.1;
-
-/// A fault that is on.
+/// Maximum number of chunks in transit in one direction of a connection.
+const MAX_CHUNKS: usize = 64;
+/// Maximum size of a chunk, bytes.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Maximum number of datagrams that are delayed at a time; further ones are sent without delay.
+const MAX_DELAYED_DATAGRAMS: usize = 8192;
+/// Interval at which a connection checks the faults of its link, seconds.
+const CHECK_INTERVAL: f64 = 0.02;
+/// Maximum delay of a reordered datagram, seconds.
+const MAX_REORDER_DELAY: f64 = 0.1;
+
+/// A fault that is switched on.
 #[derive(Clone, Debug)]
-struct On {
+struct ActiveFault {
     kind: FaultKind,
     from: BTreeSet<LinkEnd>,
     to: BTreeSet<LinkEnd>,
+    /// Seconds for `Delay`, bytes per second for `Drip`, a probability for `Lose`, `Repeat`, `Reorder` and `Garble`; not
+    /// used by the other kinds.
     size: f64,
 }
 
-impl On {
-    fn touches(&self, from: LinkEnd, to: LinkEnd) -> bool {
+impl ActiveFault {
+    /// Whether the fault affects data from `from` to `to`. All kinds but `OneWay` affect both directions.
+    fn affects(&self, from: LinkEnd, to: LinkEnd) -> bool {
         let one_way = self.from.contains(&from) && self.to.contains(&to);
         one_way || self.kind != FaultKind::OneWay && self.from.contains(&to) && self.to.contains(&from)
     }
@@ -52,82 +57,86 @@
 
 #[derive(Default)]
 struct State {
-    on: Vec<On>,
-    /// By address: number of a member, and which process of that number it is.
+    active: Vec<ActiveFault>,
+    /// Number of the member and number of its process, by source address.
     sources: HashMap<SocketAddr, (u32, u32)>,
-    homes: BTreeMap<u32, Vec<SocketAddr>>,
-    /// By gateway and what it reaches: the relay's address for it.
-    reached: HashMap<(u32, SocketAddr), SocketAddr>,
-    /// Times that a fault struck, by kind: a quiet day proves nothing.
-    struck: BTreeMap<String, u64>,
+    /// Addresses of the running processes of each member.
+    destinations: BTreeMap<u32, Vec<SocketAddr>>,
+    /// Relay address by gateway and destination address.
+    relays: HashMap<(u32, SocketAddr), SocketAddr>,
+    /// How often faults were injected, by kind; a run without any would prove nothing.
+    injected: BTreeMap<String, u64>,
 }
 
-type Shared = Arc<Mutex<State>>;
+type SharedState = Arc<Mutex<State>>;
 
-/// What becomes of one datagram.
+/// Effect of the active faults on one datagram.
 #[derive(Default)]
-struct Fate {
+struct DatagramEffect {
     lost: bool,
     copies: u32,
-    late: f64,
-    garbled: bool,
+    /// Seconds.
+    delay: f64,
+    corrupted: bool,
 }
 
 impl State {
-    fn touching(&self, from: LinkEnd, to: LinkEnd) -> impl Iterator<Item = &On> {
-        self.on.iter().filter(move |on| on.touches(from, to))
+    fn faults_between(&self, from: LinkEnd, to: LinkEnd) -> impl Iterator<Item = &ActiveFault> {
+        self.active.iter().filter(move |fault| fault.affects(from, to))
     }
 
-    fn strike(&mut self, kind: FaultKind) {
-        *self.struck.entry(format!("{kind:?}")).or_default() += 1;
+    fn count_injected(&mut self, kind: FaultKind) {
+        *self.injected.entry(format!("{kind:?}")).or_default() += 1;
     }
 
-    fn fate(&mut self, from: LinkEnd, to: LinkEnd, chance: &mut SmallRng) -> Fate {
-        let mut fate = Fate { copies: 1, ..Fate::default() };
-        let mut struck = Vec::new();
-        for on in self.touching(from, to) {
-            let hit = match on.kind {
+    /// Draws the effect of the active faults on one datagram and counts them.
+    fn datagram_effect(&mut self, from: LinkEnd, to: LinkEnd, random: &mut SmallRng) -> DatagramEffect {
+        let mut effect = DatagramEffect { copies: 1, ..DatagramEffect::default() };
+        let mut injected = Vec::new();
+        for fault in self.faults_between(from, to) {
+            let occurs = match fault.kind {
                 FaultKind::Cut | FaultKind::OneWay | FaultKind::Hole | FaultKind::Delay => true,
                 FaultKind::Lose | FaultKind::Repeat | FaultKind::Reorder | FaultKind::Garble => {
-                    chance.random::<f64>() < on.size
+                    random.random::<f64>() < fault.size
                 }
                 _ => false,
             };
-            if !hit {
+            if !occurs {
                 continue;
             }
-            struck.push(on.kind);
-            match on.kind {
-                FaultKind::Delay => fate.late += on.size * chance.random_range(0.5..1.5),
-                FaultKind::Repeat => fate.copies += 1,
-                FaultKind::Reorder => fate.late += chance.random_range(0.0..BEHIND),
-                FaultKind::Garble => fate.garbled = true,
-                _ => fate.lost = true,
+            injected.push(fault.kind);
+            match fault.kind {
+                FaultKind::Delay => effect.delay += fault.size * random.random_range(0.5..1.5),
+                FaultKind::Repeat => effect.copies += 1,
+                FaultKind::Reorder => effect.delay += random.random_range(0.0..MAX_REORDER_DELAY),
+                FaultKind::Garble => effect.corrupted = true,
+                _ => effect.lost = true,
             }
         }
-        struck.into_iter().for_each(|kind| self.strike(kind));
-        fate
+        injected.into_iter().for_each(|kind| self.count_injected(kind));
+        effect
     }
 }
 
-/// The links of a day.
+/// The relays of one run, on a thread of their own.
 pub struct Links {
-    /// Where each member's datagrams are to be sent.
+    /// Relay address to which datagrams for each member are to be sent.
     pub member_addresses: BTreeMap<u32, SocketAddr>,
-    state: Shared,
-    opens: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
+    state: SharedState,
+    requests: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
     _running: Runtime,
 }
 
-/// What members tell is read by.
+/// What is needed to decode and record the datagrams of members.
 #[derive(Clone)]
-struct Ears {
+struct Observer {
+    /// Hash of the name of the fleet.
     fleet: u64,
     record: Writer,
 }
 
 impl Links {
-    /// A relay for so many members of a fleet of that name.
+    /// Starts the relays for the members 0 to `members` - 1 of the named fleet.
     pub fn start(fleet: &str, members: u32, seed: u64, record: Writer) -> io::Result<Links> {
         let mut sockets = Vec::new();
         for number in 0..members {
@@ -138,136 +147,153 @@
             .iter()
             .map(|(number, socket)| Ok((*number, socket.local_addr()?)))
             .collect::<io::Result<_>>()?;
-        let state = Shared::default();
-        let (opens, opened) = bounded(1024);
-        let (shared, ears) =
-            (state.clone(), Ears { fleet: quaypath_fleet::message::fleet_hash(fleet), record });
+        let state = SharedState::default();
+        let (requests, requested) = bounded(1024);
+        let (shared, observer) =
+            (state.clone(), Observer { fleet: quaypath_fleet::message::fleet_hash(fleet), record });
         let running = Runtime::start("links", move |executor| {
             let weak = Rc::downgrade(executor);
-            let late = Rc::new(std::cell::Cell::new(0));
-            let (meters, told) = (Meters::default(), SaidOf::default());
+            let delayed_count = Rc::new(std::cell::Cell::new(0));
+            let (traffic, last_reported) = (Traffic::default(), LastReported::default());
             for (number, socket) in sockets {
                 let Ok(socket) = Async::new(socket) else { continue };
                 let relay = Relay {
                     number,
                     socket: Rc::new(socket),
                     state: shared.clone(),
-                    ears: ears.clone(),
-                    chance: SmallRng::seed_from_u64(seed ^ u64::from(number) << 20),
-                    late: late.clone(),
-                    meters: meters.clone(),
-                    told: told.clone(),
+                    observer: observer.clone(),
+                    random: SmallRng::seed_from_u64(seed ^ u64::from(number) << 20),
+                    delayed_count: delayed_count.clone(),
+                    traffic: traffic.clone(),
+                    last_reported: last_reported.clone(),
                 };
                 executor.spawn(relay.run(weak.clone())).detach();
             }
-            executor.spawn(report(meters, ears)).detach();
-            executor.spawn(open(opened, shared, weak)).detach();
+            executor.spawn(record_traffic(traffic, observer)).detach();
+            executor.spawn(open_relays(requested, shared, weak)).detach();
         });
-        Ok(Links { member_addresses: addresses, state, opens, _running: running })
+        Ok(Links { member_addresses: addresses, state, requests, _running: running })
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// A process of this number sends from here, and takes what is sent to its number.
+    /// Adds a process of a member: it sends from `address` and receives the datagrams for the member there.
     pub fn add_process(&self, number: u32, process: u32, address: SocketAddr) {
         let mut state = self.state();
         state.sources.insert(address, (number, process));
-        state.homes.entry(number).or_default().push(address);
+        state.destinations.entry(number).or_default().push(address);
     }
 
-    /// That process is no more.
+    /// Removes a process that has ended.
     pub fn remove_process(&self, number: u32, address: SocketAddr) {
         let mut state = self.state();
         state.sources.remove(&address);
-        state.homes.entry(number).or_default().retain(|home| *home != address);
+        state.destinations.entry(number).or_default().retain(|destination| *destination != address);
     }
 
-    /// Where a gateway reaches this address, through a relay of its own.
+    /// Address of the relay through which a gateway reaches `address`; the relay is opened at the first call.
     pub fn relay_address(&self, gateway: u32, to: LinkEnd, address: SocketAddr) -> io::Result<SocketAddr> {
-        reach(&self.state, &self.opens, gateway, to, address)
+        relay_to(&self.state, &self.requests, gateway, to, address)
     }
 
-    /// The same, for the register to tell.
+    /// Map of node addresses to relay addresses for the register. `link_end_of` gives the link end of a node address; a
+    /// node without one keeps its address.
     pub fn relay_addresses(
-        &self, of: impl Fn(&str) -> Option<LinkEnd> + Send + Sync + 'static,
+        &self, link_end_of: impl Fn(&str) -> Option<LinkEnd> + Send + Sync + 'static,
     ) -> crate::register::AddressMap {
-        let (state, opens) = (self.state.clone(), self.opens.clone());
+        let (state, requests) = (self.state.clone(), self.requests.clone());
         Arc::new(move |gateway, node| {
-            let reached = node.parse().ok().zip(of(node));
-            let reached =
-                reached.and_then(|(address, party)| reach(&state, &opens, gateway, party, address).ok());
-            reached.map_or_else(|| node.to_string(), |address| address.to_string())
+            let destination = node.parse().ok().zip(link_end_of(node));
+            let relay = destination
+                .and_then(|(address, link_end)| relay_to(&state, &requests, gateway, link_end, address).ok());
+            relay.map_or_else(|| node.to_string(), |address| address.to_string())
         })
     }
 
+    /// Switches a fault on or off.
     pub fn set_fault(
         &self, kind: FaultKind, from: &BTreeSet<LinkEnd>, to: &BTreeSet<LinkEnd>, size: f64, begins: bool,
     ) {
-        let on = On { kind, from: from.clone(), to: to.clone(), size };
+        let fault = ActiveFault { kind, from: from.clone(), to: to.clone(), size };
         let mut state = self.state();
         if begins {
-            state.on.push(on);
-        } else if let Some(at) =
-            state.on.iter().position(|known| known.kind == kind && known.from == on.from && known.to == on.to)
+            state.active.push(fault);
+        } else if let Some(index) = state
+            .active
+            .iter()
+            .position(|active| active.kind == kind && active.from == fault.from && active.to == fault.to)
         {
-            state.on.remove(at);
+            state.active.remove(index);
         }
     }
 
-    /// How often each kind of fault struck.
+    /// How often each kind of fault was injected.
     pub fn injected_faults(&self) -> BTreeMap<String, u64> {
-        self.state().struck.clone()
+        self.state().injected.clone()
     }
 }
 
-fn reach(
-    state: &Shared, opens: &Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, gateway: u32, to: LinkEnd,
-    address: SocketAddr,
+/// Address of the relay from a gateway to `address`; requests a new relay if there is none.
+fn relay_to(
+    state: &SharedState, requests: &Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, gateway: u32,
+    to: LinkEnd, address: SocketAddr,
 ) -> io::Result<SocketAddr> {
     let mut state = state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    if let Some(known) = state.reached.get(&(gateway, address)) {
-        return Ok(*known);
+    if let Some(existing) = state.relays.get(&(gateway, address)) {
+        return Ok(*existing);
     }
     let listener = crate::target::loopback_listener()?;
-    let ours = listener.local_addr()?;
-    let opened = opens.try_send((listener, LinkEnd::Gateway(gateway), to, address));
-    opened.map_err(|_| io::Error::other("too many links open at once"))?;
-    state.reached.insert((gateway, address), ours);
-    Ok(ours)
+    let relay_address = listener.local_addr()?;
+    let sent = requests.try_send((listener, LinkEnd::Gateway(gateway), to, address));
+    sent.map_err(|_| io::Error::other("too many links open at once"))?;
+    state.relays.insert((gateway, address), relay_address);
+    Ok(relay_address)
 }
 
-/// Bytes that each process sent since its last line.
-type Meters = Rc<std::cell::RefCell<BTreeMap<(u32, u32), (u64, u64, u64)>>>;
+/// Datagrams, bytes and longest datagram in bytes that each process sent since the last record line, by member and
+/// process number.
+type Traffic = Rc<std::cell::RefCell<BTreeMap<(u32, u32), (u64, u64, u64)>>>;
 
-async fn report(meters: Meters, ears: Ears) {
-    let mut last = ears.record.clock.now();
+/// Records the traffic of each process every second.
+async fn record_traffic(traffic: Traffic, observer: Observer) {
+    let mut last = observer.record.clock.now();
     loop {
         Timer::after(Duration::from_secs(1)).await;
-        let t = ears.record.clock.now();
-        for ((gateway, process), (datagrams, bytes, longest)) in std::mem::take(&mut *meters.borrow_mut()) {
+        let t = observer.record.clock.now();
+        for ((gateway, process), (datagrams, bytes, longest)) in std::mem::take(&mut *traffic.borrow_mut()) {
             let seconds = t - last;
-            ears.record.put(Line::MemberTraffic { t, gateway, process, seconds, datagrams, bytes, longest });
+            observer.record.put(Line::MemberTraffic {
+                t,
+                gateway,
+                process,
+                seconds,
+                datagrams,
+                bytes,
+                longest,
+            });
         }
         last = t;
     }
 }
 
-/// The relay of one member: what others send to it.
+/// The relay of the datagrams that are sent to one member.
 struct Relay {
     number: u32,
     socket: Rc<Async<UdpSocket>>,
-    state: Shared,
-    ears: Ears,
-    chance: SmallRng,
-    late: Rc<std::cell::Cell<usize>>,
-    meters: Meters,
-    told: SaidOf,
+    state: SharedState,
+    observer: Observer,
+    random: SmallRng,
+    /// Datagrams of all relays that are delayed at present.
+    delayed_count: Rc<std::cell::Cell<usize>>,
+    traffic: Traffic,
+    last_reported: LastReported,
 }
 
-/// What each process said last of each member.
-type SaidOf = Rc<std::cell::RefCell<HashMap<(u32, u32, u16), Status>>>;
+/// Status that each process reported last of each member, by member number and process number of the sender and by
+/// reported member.
+type LastReported = Rc<std::cell::RefCell<HashMap<(u32, u32, u16), Status>>>;
 
 impl Relay {
     async fn run(mut self, executor: Weak<LocalExecutor<'static>>) {
@@ -275,234 +301,246 @@
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
             let Some(executor) = executor.upgrade() else { return };
-            self.pass(&executor, bytes[..length].to_vec(), source);
+            self.forward(&executor, bytes[..length].to_vec(), source);
         }
     }
 
-    fn pass(&mut self, executor: &Rc<LocalExecutor<'static>>, mut bytes: Vec<u8>, source: SocketAddr) {
+    /// Forwards a datagram under the active faults. Datagrams from unknown sources are dropped.
+    fn forward(&mut self, executor: &Rc<LocalExecutor<'static>>, mut bytes: Vec<u8>, source: SocketAddr) {
         let mut state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let Some((from, process)) = state.sources.get(&source).copied() else { return };
-        self.listen(from, process, &bytes);
-        let fate = state.fate(LinkEnd::Gateway(from), LinkEnd::Gateway(self.number), &mut self.chance);
-        let homes = state.homes.get(&self.number).cloned().unwrap_or_default();
+        self.observe(from, process, &bytes);
+        let effect =
+            state.datagram_effect(LinkEnd::Gateway(from), LinkEnd::Gateway(self.number), &mut self.random);
+        let destinations = state.destinations.get(&self.number).cloned().unwrap_or_default();
         drop(state);
-        if fate.lost {
+        if effect.lost {
             return;
         }
-        if fate.garbled && !bytes.is_empty() {
-            for _ in 0..self.chance.random_range(1..4) {
-                let at = self.chance.random_range(0..bytes.len());
-                bytes[at] ^= self.chance.random_range(1..=255u8);
+        if effect.corrupted && !bytes.is_empty() {
+            for _ in 0..self.random.random_range(1..4) {
+                let index = self.random.random_range(0..bytes.len());
+                bytes[index] ^= self.random.random_range(1..=255u8);
             }
         }
-        for home in homes.into_iter().filter(|home| *home != source) {
-            for _ in 0..fate.copies {
-                if fate.late <= 0.0 || self.late.get() >= MOST_LATE {
-                    let _ = self.socket.get_ref().send_to(&bytes, home);
+        for destination in destinations.into_iter().filter(|destination| *destination != source) {
+            for _ in 0..effect.copies {
+                if effect.delay <= 0.0 || self.delayed_count.get() >= MAX_DELAYED_DATAGRAMS {
+                    let _ = self.socket.get_ref().send_to(&bytes, destination);
                     continue;
                 }
-                let (socket, bytes, waiting) = (self.socket.clone(), bytes.clone(), self.late.clone());
-                waiting.set(waiting.get() + 1);
-                let later = async move {
-                    Timer::after(Duration::from_secs_f64(fate.late)).await;
-                    let _ = socket.get_ref().send_to(&bytes, home);
-                    waiting.set(waiting.get() - 1);
+                let (socket, bytes, delayed_count) =
+                    (self.socket.clone(), bytes.clone(), self.delayed_count.clone());
+                delayed_count.set(delayed_count.get() + 1);
+                let send_delayed = async move {
+                    Timer::after(Duration::from_secs_f64(effect.delay)).await;
+                    let _ = socket.get_ref().send_to(&bytes, destination);
+                    delayed_count.set(delayed_count.get() - 1);
                 };
-                executor.spawn(later).detach();
+                executor.spawn(send_delayed).detach();
             }
         }
     }
 
-    /// Writes down what this datagram tells.
-    fn listen(&self, gateway: u32, process: u32, bytes: &[u8]) {
-        let (t, length) = (self.ears.record.clock.now(), bytes.len() as u64);
-        let mut meters = self.meters.borrow_mut();
-        let (datagrams, sum, longest) = meters.entry((gateway, process)).or_default();
+    /// Counts a datagram and records the member status that it reports.
+    fn observe(&self, gateway: u32, process: u32, bytes: &[u8]) {
+        let (t, length) = (self.observer.record.clock.now(), bytes.len() as u64);
+        let mut traffic = self.traffic.borrow_mut();
+        let (datagrams, sum, longest) = traffic.entry((gateway, process)).or_default();
         (*datagrams, *sum, *longest) = (*datagrams + 1, *sum + length, length.max(*longest));
-        drop(meters);
-        let Ok(message) = Message::decode(self.ears.fleet, bytes) else { return };
-        // A page is what its sender holds; of other news only what is new from it.
-        let mut told = self.told.borrow_mut();
-        let said = message.updates.iter().filter(|news| {
-            let before = told.insert((gateway, process, news.member.0), news.status);
-            message.kind == MessageKind::StatePage || before != Some(news.status)
+        drop(traffic);
+        let Ok(message) = Message::decode(self.observer.fleet, bytes) else { return };
+        // A state page is the view of its sender and is recorded whole; from other messages only changes are recorded.
+        let mut last_reported = self.last_reported.borrow_mut();
+        let updates = message.updates.iter().filter(|update| {
+            let previous = last_reported.insert((gateway, process, update.member.0), update.status);
+            message.kind == MessageKind::StatePage || previous != Some(update.status)
         });
-        let said: Vec<_> = said.collect();
-        if said.is_empty() {
+        let updates: Vec<_> = updates.collect();
+        if updates.is_empty() {
             return;
         }
-        // What left in order is neither.
-        let those = |held: &[Status]| {
-            let news = said.iter().filter(|news| held.contains(&news.status));
-            news.map(|news| u32::from(news.member.0)).collect()
+        // A member that left in order is neither live nor dead.
+        let members_with = |statuses: &[Status]| {
+            let matching = updates.iter().filter(|update| statuses.contains(&update.status));
+            matching.map(|update| u32::from(update.member.0)).collect()
         };
-        let (live, dead) = (those(&[Status::Alive, Status::Suspect]), those(&[Status::Dead]));
+        let (live, dead) = (members_with(&[Status::Alive, Status::Suspect]), members_with(&[Status::Dead]));
         let incarnation = message.incarnation;
-        self.ears.record.put(Line::MemberView { t, gateway, process, incarnation, live, dead });
+        self.observer.record.put(Line::MemberView { t, gateway, process, incarnation, live, dead });
     }
 }
 
-/// Opens the relays of connections as they are wanted.
-async fn open(
-    opened: Receiver<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, state: Shared,
+/// Opens relays of connections when they are requested.
+async fn open_relays(
+    requested: Receiver<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>, state: SharedState,
     executor: Weak<LocalExecutor<'static>>,
 ) {
-    while let Ok((listener, from, to, address)) = opened.recv().await {
+    while let Ok((listener, from, to, address)) = requested.recv().await {
         let (Some(executor), Ok(listener)) = (executor.upgrade(), Async::new(listener)) else { return };
         let (state, weak) = (state.clone(), Rc::downgrade(&executor));
-        let serve = async move {
+        let accept_loop = async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else {
+                let Ok((gateway_stream, _)) = listener.accept().await else {
                     Timer::after(Duration::from_millis(20)).await;
                     continue;
                 };
                 let Some(executor) = weak.upgrade() else { return };
-                executor.spawn(join(near, from, to, address, state.clone(), weak.clone())).detach();
+                executor.spawn(join(gateway_stream, from, to, address, state.clone(), weak.clone())).detach();
             }
         };
-        executor.spawn(serve).detach();
+        executor.spawn(accept_loop).detach();
     }
 }
 
-/// What a link does to connections now.
-enum Stands {
+/// State of a link for connections.
+enum LinkState {
     Open {
-        late: f64,
-        drip: f64,
+        /// Seconds.
+        delay: f64,
+        /// Maximum rate in bytes per second; infinite without a fault.
+        rate: f64,
     },
-    /// Nothing passes, nothing is closed.
-    Held,
+    /// No data passes, but connections stay open.
+    Stalled,
+    /// Connections are reset and new ones are closed.
     Cut,
 }
 
-fn stands(state: &Shared, from: LinkEnd, to: LinkEnd) -> Stands {
+/// State of the link from `from` to `to` now; counts the faults that cause it.
+fn link_state(state: &SharedState, from: LinkEnd, to: LinkEnd) -> LinkState {
     let mut state = state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let (mut late, mut drip, mut worst) = (0.0, f64::INFINITY, None);
-    for on in state.touching(from, to) {
-        match on.kind {
-            FaultKind::Cut => worst = Some(FaultKind::Cut),
-            FaultKind::Hole | FaultKind::OneWay => worst = worst.or(Some(on.kind)),
-            FaultKind::Delay => late += on.size,
-            FaultKind::Drip => drip = on.size.min(drip),
+    let (mut delay, mut rate, mut blocking) = (0.0, f64::INFINITY, None);
+    for fault in state.faults_between(from, to) {
+        match fault.kind {
+            FaultKind::Cut => blocking = Some(FaultKind::Cut),
+            FaultKind::Hole | FaultKind::OneWay => blocking = blocking.or(Some(fault.kind)),
+            FaultKind::Delay => delay += fault.size,
+            FaultKind::Drip => rate = fault.size.min(rate),
             _ => {}
         }
     }
-    match worst {
+    match blocking {
         Some(kind) => {
-            state.strike(kind);
+            state.count_injected(kind);
             if kind == FaultKind::Cut {
-                Stands::Cut
+                LinkState::Cut
             } else {
-                Stands::Held
+                LinkState::Stalled
             }
         }
         None => {
-            if late > 0.0 {
-                state.strike(FaultKind::Delay);
+            if delay > 0.0 {
+                state.count_injected(FaultKind::Delay);
             }
-            if drip.is_finite() {
-                state.strike(FaultKind::Drip);
+            if rate.is_finite() {
+                state.count_injected(FaultKind::Drip);
             }
-            Stands::Open { late, drip }
+            LinkState::Open { delay, rate }
         }
     }
 }
 
-/// Joins a connection with one to where it wants to go.
+/// Connects to the destination of a connection and relays both directions.
 async fn join(
-    near: Async<TcpStream>, from: LinkEnd, to: LinkEnd, address: SocketAddr, state: Shared,
+    gateway_stream: Async<TcpStream>, from: LinkEnd, to: LinkEnd, address: SocketAddr, state: SharedState,
     executor: Weak<LocalExecutor<'static>>,
 ) {
-    if matches!(stands(&state, from, to), Stands::Cut) {
+    if matches!(link_state(&state, from, to), LinkState::Cut) {
         return;
     }
-    let Ok(far) = Async::<TcpStream>::connect(address).await else { return };
-    for stream in [&near, &far] {
+    let Ok(peer_stream) = Async::<TcpStream>::connect(address).await else { return };
+    for stream in [&gateway_stream, &peer_stream] {
         let _ = stream.get_ref().set_nodelay(true);
     }
-    let (near, far) = (Rc::new(near), Rc::new(far));
+    let (gateway_stream, peer_stream) = (Rc::new(gateway_stream), Rc::new(peer_stream));
     let Some(executor) = executor.upgrade() else { return };
-    for (input, output, from, to) in [(near.clone(), far.clone(), from, to), (far, near, to, from)] {
-        let (pieces, taken) = bounded(MOST_PIECES);
-        let (state, other) = (state.clone(), state.clone());
-        executor.spawn(take(input.clone(), pieces, from, to, state)).detach();
-        executor.spawn(give(input, output, taken, from, to, other)).detach();
+    for (input, output, from, to) in
+        [(gateway_stream.clone(), peer_stream.clone(), from, to), (peer_stream, gateway_stream, to, from)]
+    {
+        let (sender, receiver) = bounded(MAX_CHUNKS);
+        let (reader_state, writer_state) = (state.clone(), state.clone());
+        executor.spawn(read_direction(input.clone(), sender, from, to, reader_state)).detach();
+        executor.spawn(write_direction(input, output, receiver, from, to, writer_state)).detach();
     }
 }
 
-async fn look<R>(done: impl Future<Output = R>) -> Option<R> {
-    let late = async {
-        Timer::after(Duration::from_secs_f64(LOOK)).await;
+/// Awaits `operation` for at most [`CHECK_INTERVAL`].
+async fn until_next_check<R>(operation: impl Future<Output = R>) -> Option<R> {
+    let timeout = async {
+        Timer::after(Duration::from_secs_f64(CHECK_INTERVAL)).await;
         None
     };
-    async { Some(done.await) }.or(late).await
+    async { Some(operation.await) }.or(timeout).await
 }
 
-fn close(one: &Async<TcpStream>) {
-    let _ = one.get_ref().shutdown(std::net::Shutdown::Both);
+fn close(stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
 }
 
-/// Reads one direction; nothing is read while the link holds, so that the kernels fill up as on a real one.
-async fn take(
-    input: Rc<Async<TcpStream>>, pieces: Sender<(f64, Vec<u8>)>, from: LinkEnd, to: LinkEnd, state: Shared,
+/// Reads one direction. While the link stalls nothing is read, so that the socket buffers fill up as on a real link.
+async fn read_direction(
+    input: Rc<Async<TcpStream>>, chunks: Sender<(f64, Vec<u8>)>, from: LinkEnd, to: LinkEnd,
+    state: SharedState,
 ) {
     let clock = quaypath_record::Clock::default();
-    let mut bytes = vec![0; PIECE];
+    let mut bytes = vec![0; CHUNK_BYTES];
     loop {
-        let late = match stands(&state, from, to) {
-            Stands::Open { late, .. } => late,
-            Stands::Held => {
-                Timer::after(Duration::from_secs_f64(LOOK)).await;
+        let delay = match link_state(&state, from, to) {
+            LinkState::Open { delay, .. } => delay,
+            LinkState::Stalled => {
+                Timer::after(Duration::from_secs_f64(CHECK_INTERVAL)).await;
                 continue;
             }
-            Stands::Cut => {
-                // A reset, not an end: what is under way is lost.
+            LinkState::Cut => {
+                // The connection is reset instead of closed in order, so that data in transit is lost.
                 let _ = socket2::SockRef::from(input.get_ref()).set_linger(Some(Duration::ZERO));
                 return close(&input);
             }
         };
         let mut reader = &*input;
-        let read = match look(reader.read(&mut bytes)).await {
+        let chunk = match until_next_check(reader.read(&mut bytes)).await {
             None => continue,
             Some(Ok(0) | Err(_)) => return,
             Some(Ok(length)) => bytes[..length].to_vec(),
         };
-        if pieces.send((clock.now() + late, read)).await.is_err() {
+        if chunks.send((clock.now() + delay, chunk)).await.is_err() {
             return;
         }
     }
 }
 
-/// Writes one direction, each piece when its delay is over.
-async fn give(
-    input: Rc<Async<TcpStream>>, output: Rc<Async<TcpStream>>, taken: Receiver<(f64, Vec<u8>)>,
-    from: LinkEnd, to: LinkEnd, state: Shared,
+/// Writes one direction, each chunk after its delay.
+async fn write_direction(
+    input: Rc<Async<TcpStream>>, output: Rc<Async<TcpStream>>, chunks: Receiver<(f64, Vec<u8>)>,
+    from: LinkEnd, to: LinkEnd, state: SharedState,
 ) {
     let clock = quaypath_record::Clock::default();
     let mut writer = &*output;
-    while let Ok((due, bytes)) = taken.recv().await {
+    while let Ok((due, bytes)) = chunks.recv().await {
         Timer::after(Duration::from_secs_f64((due - clock.now()).max(0.0))).await;
-        let mut rest = &bytes[..];
-        while !rest.is_empty() {
-            let drip = match stands(&state, from, to) {
-                Stands::Open { drip, .. } => drip,
-                Stands::Held => {
-                    Timer::after(Duration::from_secs_f64(LOOK)).await;
+        let mut remaining = &bytes[..];
+        while !remaining.is_empty() {
+            let rate = match link_state(&state, from, to) {
+                LinkState::Open { rate, .. } => rate,
+                LinkState::Stalled => {
+                    Timer::after(Duration::from_secs_f64(CHECK_INTERVAL)).await;
                     continue;
                 }
-                Stands::Cut => break,
+                LinkState::Cut => break,
             };
-            let length = if drip.is_finite() { ((drip * LOOK) as usize).max(1) } else { PIECE };
-            let (now, later) = rest.split_at(length.min(rest.len()));
-            if writer.write_all(now).await.is_err() {
+            let length =
+                if rate.is_finite() { ((rate * CHECK_INTERVAL) as usize).max(1) } else { CHUNK_BYTES };
+            let (part, unwritten) = remaining.split_at(length.min(remaining.len()));
+            if writer.write_all(part).await.is_err() {
                 return close(&input);
             }
-            rest = later;
-            if drip.is_finite() {
-                Timer::after(Duration::from_secs_f64(now.len() as f64 / drip)).await;
+            remaining = unwritten;
+            if rate.is_finite() {
+                Timer::after(Duration::from_secs_f64(part.len() as f64 / rate)).await;
             }
         }
     }
-    // Its own side has ended: so does the other.
+    // The input has ended, so the output is closed too.
     close(&output);
 }
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -72,6 +72,7 @@
 
 /// A register that runs on a thread of its own.
 pub struct Register {
+    /// Address that it listens on.
     pub address: SocketAddr,
     log: Arc<Mutex<ChangeLog>>,
     record: Writer,
@@ -119,7 +120,8 @@
         Ok(Register { address, log, record, _running: running })
     }
 
-    /// Sets the entry of a node, visible `after` seconds from now. `started` is none for a node that started long ago.
+    /// Sets the entry of a node, visible `after` seconds from now. `started` is the start time of the node in seconds; if
+    /// it is none, the node keeps its earlier start time or, without one, counts as started long ago.
     pub fn set_entry(
         &self, node: &str, zone: &str, block: i64, condition: NodeCondition, started: Option<f64>, after: f64,
     ) {
