--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -128,8 +128,8 @@
     longest_return: f64,
 }
 
-/// Element `further`: the budget of further shots (rule 6). `free` further shots, and `share` of the transactions received within the
-/// last `look_back` seconds, are allowed.
+/// Element `further`: the budget of further shots (rule 6). `free` further shots, and `share` of the transactions
+/// received within the last `look_back` seconds, are allowed.
 #[derive(Clone, Serialize, Deserialize)]
 struct FurtherForm {
     #[serde(rename = "@share")]
