--- a/crates/programs/tests/crossings.rs
+++ b/crates/programs/tests/crossings.rs
@@ -265,23 +265,23 @@
 fn connection_flood_leaves_descriptors_for_discovery() {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |config| config["limits"]["sockets"] = json!(64));
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |config| config["limits"]["sockets"] = json!(64));
     let limit = Rlimit { current: Some(64), maximum: Some(64) };
     prlimit(Some(Pid::from_child(&gateway.child)), Resource::Nofile, limit).expect("a child process");
-    calls.open_first_watch(&list).reset();
+    discovery.open_first_watch(&list).reset();
     barrier(&gateway, "before");
     // Discovery does not answer while all the connections arrive at once.
-    let mut unanswered_calls = vec![calls.next_call()];
+    let mut unanswered_calls = vec![discovery.next_call()];
     let idle_clients: Vec<TcpStream> =
         gateway.while_stopped(|| (0..400).map(|_| gateway.connect()).collect());
-    unanswered_calls.extend((0..5).map(|_| calls.next_call()));
+    unanswered_calls.extend((0..5).map(|_| discovery.next_call()));
     let recovered_at = Instant::now();
     let changed_list = node_list(
         42,
         &[("s-1", first_node.address, "terminating"), ("s-2", second_node.address, "in_service")],
     );
-    let watch = calls.send_list_on_watch(&changed_list);
+    let watch = discovery.send_list_on_watch(&changed_list);
     wait_until_applied(&gateway, &second_node);
     assert!(recovered_at.elapsed() < MAX_UPDATE_DELAY, "{:?}", recovered_at.elapsed());
     drop((watch, unanswered_calls));
@@ -422,9 +422,9 @@
 fn connection_in_use_while_its_node_moved_is_not_reused() {
     let (old_node, new_node) = (ManualNode::start(), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", old_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.open_first_watch(&list);
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let mut watch = discovery.open_first_watch(&list);
     let mut client = gateway.connect();
     client.write_all(put_request("lookup", "out", "1200m").as_bytes()).expect("sent");
     let mut old_connection = old_node.accept();
@@ -490,10 +490,8 @@
 /// Script: answers, and again after the number of milliseconds that the request id gives after "late".
 fn answer_twice(_: usize, stream: &mut TcpStream, head: &str) -> bool {
     let id = request_id(head).to_string();
-    let delay_ms = id
-        .strip_prefix("late")
-        .and_then(|read_until_closed| read_until_closed.split('-').next()?.parse().ok())
-        .unwrap_or(0);
+    let delay_ms =
+        id.strip_prefix("late").and_then(|suffix| suffix.split('-').next()?.parse().ok()).unwrap_or(0);
     let mut second_stream = stream.try_clone().expect("a socket");
     let began = Instant::now();
     if !write_response(stream, "200 OK", &id) {
@@ -590,9 +588,9 @@
 fn replacement_node_at_the_same_address_gets_new_connections() {
     let node = ManualNode::start();
     let list = node_list(41, &[("s-1", node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.open_first_watch(&list);
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let mut watch = discovery.open_first_watch(&list);
     let mut client = gateway.connect();
     client.write_all(put_request("lookup", "one", "1200m").as_bytes()).expect("sent");
     let mut old_connection = node.accept();
@@ -631,7 +629,7 @@
 
 /// The way in which a watch fails.
 #[derive(Clone, Copy, Debug)]
-enum Silence {
+enum WatchFailure {
     /// No bytes after the response head.
     AfterHead,
     /// No bytes after a line.
@@ -646,21 +644,21 @@
 
 /// Guards against a missed change: the watch goes silent, and the first two new calls get no answer. A change made
 /// meanwhile must be applied within 6 s of the start of the silence.
-#[test_case(Silence::AfterHead)]
-#[test_case(Silence::AfterLine)]
-#[test_case(Silence::WithinLine)]
-#[test_case(Silence::Drips)]
-#[test_case(Silence::Reset)]
-fn a_silent_watch_is_replaced_in_time(silence: Silence) {
+#[test_case(WatchFailure::AfterHead)]
+#[test_case(WatchFailure::AfterLine)]
+#[test_case(WatchFailure::WithinLine)]
+#[test_case(WatchFailure::Drips)]
+#[test_case(WatchFailure::Reset)]
+fn silent_watch_is_replaced_in_time(failure: WatchFailure) {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.open_first_watch(&list);
-    match silence {
-        Silence::AfterHead | Silence::Reset => {}
-        Silence::AfterLine => assert!(watch.send_chunk("\n")),
-        Silence::WithinLine | Silence::Drips => assert!(watch.send_chunk("\n{\"index\": 42, ")),
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let mut watch = discovery.open_first_watch(&list);
+    match failure {
+        WatchFailure::AfterHead | WatchFailure::Reset => {}
+        WatchFailure::AfterLine => assert!(watch.send_chunk("\n")),
+        WatchFailure::WithinLine | WatchFailure::Drips => assert!(watch.send_chunk("\n{\"index\": 42, ")),
     }
     let silent_since = Instant::now();
     barrier(&gateway, "before");
@@ -668,9 +666,9 @@
         43,
         &[("s-1", first_node.address, "terminating"), ("s-2", second_node.address, "in_service")],
     );
-    match silence {
-        Silence::Reset => watch.reset(),
-        Silence::Drips => {
+    match failure {
+        WatchFailure::Reset => watch.reset(),
+        WatchFailure::Drips => {
             thread::spawn(move || {
                 while watch.send_chunk(" ") {
                     thread::sleep(Duration::from_millis(100));
@@ -680,8 +678,8 @@
         _ => std::mem::forget(watch),
     }
     // The first two new calls get no answer.
-    let unanswered_calls = [calls.next_call(), calls.next_call()];
-    let new_watch = calls.send_list_on_watch(&changed_list);
+    let unanswered_calls = [discovery.next_call(), discovery.next_call()];
+    let new_watch = discovery.send_list_on_watch(&changed_list);
     wait_until_applied(&gateway, &second_node);
     assert!(silent_since.elapsed() < MAX_UPDATE_DELAY, "{:?}", silent_since.elapsed());
     drop((unanswered_calls, new_watch));
@@ -693,22 +691,22 @@
 fn change_is_applied_in_time_after_discovery_recovers() {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    calls.open_first_watch(&list).reset();
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    discovery.open_first_watch(&list).reset();
     // Enough unanswered calls that the retry delay has reached its maximum.
     let mut unanswered_calls = Vec::new();
     while unanswered_calls.len() < 6 {
-        unanswered_calls.push(calls.next_call());
+        unanswered_calls.push(discovery.next_call());
     }
     let recovered_at = Instant::now();
-    calls.next_call().send_raw("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
-    unanswered_calls.push(calls.next_call());
+    discovery.next_call().send_raw("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+    unanswered_calls.push(discovery.next_call());
     let changed_list = node_list(
         43,
         &[("s-1", first_node.address, "terminating"), ("s-2", second_node.address, "in_service")],
     );
-    let watch = calls.send_list_on_watch(&changed_list);
+    let watch = discovery.send_list_on_watch(&changed_list);
     wait_until_applied(&gateway, &second_node);
     assert!(recovered_at.elapsed() < MAX_UPDATE_DELAY, "{:?}", recovered_at.elapsed());
     drop((watch, unanswered_calls));
@@ -721,13 +719,13 @@
     const GRACE_SECONDS: f64 = 0.5;
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |config| {
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |config| {
         config["settings"]["Rules"]["DrainGrace"] = json!(GRACE_SECONDS);
     });
-    calls.open_first_watch(&list).reset();
-    let mut unanswered_calls: Vec<_> = (0..4).map(|_| calls.next_call()).collect();
-    unanswered_calls.push(calls.next_call());
+    discovery.open_first_watch(&list).reset();
+    let mut unanswered_calls: Vec<_> = (0..4).map(|_| discovery.next_call()).collect();
+    unanswered_calls.push(discovery.next_call());
     let recovered_at = Instant::now();
     let changed_list = node_list(
         42,
@@ -737,7 +735,7 @@
     let mut watch = None;
     while recovered_at.elapsed() < Duration::from_secs_f64(3.0) {
         // From here on each call is answered immediately.
-        if let Some(mut call) = calls.try_next_call() {
+        if let Some(mut call) = discovery.try_next_call() {
             if call.is_watch {
                 call.open_watch();
                 call.send_chunk(&format!("{changed_list}\n"));
@@ -766,9 +764,9 @@
 fn indented_list_is_read_from_the_watch() {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.open_first_watch(&list);
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let mut watch = discovery.open_first_watch(&list);
     barrier(&gateway, "before");
     let changed_list = node_list(
         42,
@@ -779,7 +777,7 @@
         .chunks(7)
         .for_each(|piece| assert!(watch.send_chunk(std::str::from_utf8(piece).expect("ASCII"))));
     wait_until_applied(&gateway, &second_node);
-    assert!(calls.try_next_call().is_none(), "the watch is still in use");
+    assert!(discovery.try_next_call().is_none(), "the watch is still in use");
 }
 
 /// Guards against a drain that an older complete list undoes.
@@ -788,9 +786,9 @@
 fn older_complete_list_does_not_undo_a_drain(status: &str) {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let mut watch = calls.open_first_watch(&list);
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let mut watch = discovery.open_first_watch(&list);
     let mut changed_list =
         node_list(43, &[("s-1", first_node.address, status), ("s-2", second_node.address, "in_service")]);
     changed_list["snapshot"] = json!(false);
@@ -805,7 +803,7 @@
     );
     // As the last entry the drained node would replace the other one.
     older_list["endpoints"].as_array_mut().expect("a list").reverse();
-    let mut watch = calls.open_first_watch(&older_list);
+    let mut watch = discovery.open_first_watch(&older_list);
     watch.send_chunk("\n");
     for number in 0..20 {
         barrier(&gateway, &format!("after{number}"));
@@ -819,9 +817,9 @@
 fn ready_only_after_the_first_response_of_discovery() {
     let (first_node, second_node) = (Node::start(answer_ok), Node::start(answer_ok));
     let list = node_list(41, &[("s-1", first_node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    let call = calls.next_call();
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    let call = discovery.next_call();
     let mut up_client = gateway.connect();
     up_client.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
     // Another client's later request got its error response, so the `/up` request has been read.
--- a/crates/programs/tests/floods.rs
+++ b/crates/programs/tests/floods.rs
@@ -24,10 +24,10 @@
 const MAX_START_TIME: Duration = Duration::from_secs(10);
 
 /// A PUT request whose head (14 padding fields of 1000 bytes) and body (64 KiB) are both close to their maximum length.
-fn long_request(class: &str, id: &str, time: &str) -> String {
+fn long_request(class: &str, id: &str, timeout: &str) -> String {
     let padding: String = (0..14).map(|number| format!("X-Pad-{number}: {}\r\n", "p".repeat(1000))).collect();
     let body = "b".repeat(64 << 10);
-    put_request(class, id, time)
+    put_request(class, id, timeout)
         .replace("Content-Length: 4\r\n", &format!("Content-Length: {}\r\n{padding}", body.len()))
         .replace("\r\n\r\nbody", &format!("\r\n\r\n{body}"))
 }
@@ -44,29 +44,29 @@
 /// Starts a gateway with one node with small buffers and a client whose long request is partly sent to it. Returns the
 /// node, discovery, the gateway, the client, the node's end of the connection and the open watch.
 fn start_partial_attempt(
-    class: &str, time: &str, may_cancel: bool,
+    class: &str, timeout: &str, may_cancel: bool,
 ) -> (ManualNode, ManualDiscovery, Gateway, TcpStream, TcpStream, rig::DiscoveryCall) {
     let node = ManualNode::with_small_buffers();
     let list = node_list(41, &[("s-1", node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |config| {
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |config| {
         config["settings"]["Ceilings"]["MayCancel"] = json!(may_cancel);
     });
-    let watch = calls.open_first_watch(&list);
+    let watch = discovery.open_first_watch(&list);
     let mut client = gateway.connect();
-    client.write_all(long_request(class, "half", time).as_bytes()).expect("sent");
+    client.write_all(long_request(class, "half", timeout).as_bytes()).expect("sent");
     let node_connection = node.accept();
     wait_until("the first bytes arrive at the node", || {
         node_connection.peek(&mut [0]).is_ok_and(|count| count > 0)
     });
-    (node, calls, gateway, client, node_connection, watch)
+    (node, discovery, gateway, client, node_connection, watch)
 }
 
 /// Guards against completing an attempt whose client left while it was partly sent.
 #[test_case(true; "where the settings allow cancelling")]
 #[test_case(false; "where they do not")]
 fn half_an_attempt_ends_with_its_client(may_cancel: bool) {
-    let (_node, _calls, gateway, client, mut node_connection, _watch) =
+    let (_node, _discovery, gateway, client, mut node_connection, _watch) =
         start_partial_attempt("buy", "2500m", may_cancel);
     drop(client);
     // A later request is served, so the client's close has been read.
@@ -85,7 +85,7 @@
 /// refusal (503), after which the client may safely retry.
 #[test]
 fn partly_sent_attempt_is_declined_at_its_timeout() {
-    let (_node, _calls, _gateway, mut client, mut node_connection, _watch) =
+    let (_node, _discovery, _gateway, mut client, mut node_connection, _watch) =
         start_partial_attempt("buy", "400m", true);
     let (status, head, _) = exchange(&mut client, "");
     assert_eq!(status, 503, "{head}");
@@ -97,7 +97,7 @@
 /// that of the first byte.
 #[test]
 fn partly_sent_attempt_is_completed_while_its_node_drains() {
-    let (node, _calls, gateway, mut client, mut node_connection, mut watch) =
+    let (node, _discovery, gateway, mut client, mut node_connection, mut watch) =
         start_partial_attempt("buy", "2500m", true);
     let second_node = Node::start(answer_ok);
     let changed_list =
@@ -301,7 +301,7 @@
 }
 
 /// Sends requests one after another for the duration; each has to be served. Returns the longest latency.
-fn slowest_normal(client: &mut TcpStream, duration: Duration) -> Duration {
+fn measure_slowest_request(client: &mut TcpStream, duration: Duration) -> Duration {
     let (began, mut slowest, mut number) = (Instant::now(), Duration::ZERO, 0);
     while began.elapsed() < duration {
         let id = format!("id{number}");
@@ -335,7 +335,7 @@
     let stop = AtomicBool::new(false);
     let (mut normal_client, mut flooded_client) = (gateway.connect(), gateway.connect());
     let latencies = thread::scope(|scope| {
-        let endless_count = scope.spawn(|| {
+        let endless_thread = scope.spawn(|| {
             let (mut endless_count, mut slowest) = (0, Duration::ZERO);
             while !stop.load(Ordering::SeqCst) {
                 let request = put_request(
@@ -354,9 +354,9 @@
             }
             (endless_count, slowest)
         });
-        let slowest_normal = slowest_normal(&mut normal_client, Duration::from_secs(4));
+        let slowest_normal = measure_slowest_request(&mut normal_client, Duration::from_secs(4));
         stop.store(true, Ordering::SeqCst);
-        let (endless_count, slowest_endless) = endless_count.join().expect("no panic");
+        let (endless_count, slowest_endless) = endless_thread.join().expect("no panic");
         EndlessAnswerLatencies { slowest_normal, slowest_endless, endless_count }
     });
     println!(
@@ -369,7 +369,8 @@
 
 /// Guards against an endless answer whose timeout expires before its size limit. At the timeout an attempt reads what has
 /// already arrived, so that a stall of the gateway is not counted against the node. When it read until the socket was
-/// empty, in one poll, other requests took 3 to 6 s ("a task kept the loop for long task=Attempt took_ms=5702").
+/// empty, in one poll, other requests took 3 to 6 s ("a task kept the loop for long task=Attempt peer=s-1 took_ms=5702
+/// cpu_ms=5701").
 #[test]
 fn endless_answers_past_their_timeout_do_not_delay_other_clients() {
     let latencies = measure_endless_answers();
@@ -442,10 +443,10 @@
 
 /// Sends the flood on each call at full speed until `stop` is set. Calls for the list are answered normally unless they are
 /// to be flooded. The thread returns how many writes succeeded.
-fn flood_calls(
-    calls: ManualDiscovery, list: serde_json::Value, kind: DiscoveryFlood, stop: Arc<AtomicBool>,
+fn flood_discovery_calls(
+    discovery: ManualDiscovery, list: serde_json::Value, kind: DiscoveryFlood, stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<usize> {
-    let text = match kind {
+    let payload = match kind {
         DiscoveryFlood::BlankWatch | DiscoveryFlood::BlankList => "1\r\n \r\n".repeat(1 << 10),
         DiscoveryFlood::LineEnds => "1\r\n\n\r\n".repeat(1 << 10),
         DiscoveryFlood::Objects => {
@@ -456,7 +457,7 @@
     thread::spawn(move || {
         let sent_count = Arc::<AtomicUsize>::default();
         while !stop.load(Ordering::SeqCst) {
-            let Some(mut call) = calls.try_next_call() else {
+            let Some(mut call) = discovery.try_next_call() else {
                 thread::sleep(Duration::from_millis(2));
                 continue;
             };
@@ -464,10 +465,10 @@
                 call.send_list(&list);
                 continue;
             }
-            let (text, stop, sent_count) = (text.clone(), stop.clone(), sent_count.clone());
+            let (payload, stop, sent_count) = (payload.clone(), stop.clone(), sent_count.clone());
             thread::spawn(move || {
                 call.start_response();
-                while !stop.load(Ordering::SeqCst) && call.try_send_raw(&text) {
+                while !stop.load(Ordering::SeqCst) && call.try_send_raw(&payload) {
                     sent_count.fetch_add(1, Ordering::SeqCst);
                 }
             });
@@ -479,8 +480,8 @@
 /// Guards against a discovery server that sends endlessly and blocks the event loop: each request is served within its
 /// timeout meanwhile. When the discovery task read as long as bytes were available, in one poll, neither its own timeouts
 /// nor other tasks ran: no request was answered in 20 s during a flood on the watch, and the slowest took 1.5 s during
-/// spaces instead of the list ("a task kept the loop for long task=Discovery took_ms=1519"). Polls that never ended left
-/// no log line and no counters.
+/// spaces instead of the list ("a task kept the loop for long task=Discovery took_ms=1519 cpu_ms=1520"). Polls that never
+/// ended left no log line and no counters.
 #[test_case(DiscoveryFlood::BlankWatch)]
 #[test_case(DiscoveryFlood::LineEnds)]
 #[test_case(DiscoveryFlood::Objects)]
@@ -488,14 +489,14 @@
 fn discovery_flood_does_not_delay_clients(kind: DiscoveryFlood) {
     let node = Node::start(answer_ok);
     let list = node_list(41, &[("s-1", node.address, "in_service")]);
-    let calls = ManualDiscovery::start();
-    let gateway = Gateway::start(&list, calls.address, |_| {});
-    calls.open_first_watch(&list).reset();
+    let discovery = ManualDiscovery::start();
+    let gateway = Gateway::start(&list, discovery.address, |_| {});
+    discovery.open_first_watch(&list).reset();
     let mut normal_client = gateway.connect();
     assert_eq!(exchange(&mut normal_client, &put_request("lookup", "before", "1000m")).0, 200);
     let stop = Arc::new(AtomicBool::new(false));
-    let flood_thread = flood_calls(calls, list, kind, stop.clone());
-    let slowest = slowest_normal(&mut normal_client, Duration::from_secs(4));
+    let flood_thread = flood_discovery_calls(discovery, list, kind, stop.clone());
+    let slowest = measure_slowest_request(&mut normal_client, Duration::from_secs(4));
     stop.store(true, Ordering::SeqCst);
     let sent_count = flood_thread.join().expect("no panic");
     println!("{kind:?}: slowest {slowest:?}, during {sent_count} flood writes");
@@ -516,9 +517,9 @@
         config["limits"] = json!({"memory_mb": MEMORY_MB, "sockets": 1024});
     });
     let resident_kb = || {
-        let request =
-            std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("it runs");
-        let line = request.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
+        let status_text = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id()))
+            .expect("the process is running");
+        let line = status_text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
         line.trim().split(' ').next().and_then(|kb| kb.parse::<usize>().ok()).expect("a number")
     };
     let before_kb = resident_kb();
@@ -660,7 +661,7 @@
     let began = Instant::now();
     assert_eq!(gateway.send_request("buy", "one").0, 500);
     assert!(began.elapsed() < Duration::from_secs(1), "fails as soon as it is detected, not at the timeout");
-    wait_until("its connection is closed", || node.closed_connections.load(Ordering::SeqCst) == 1);
+    wait_until("the node connection is closed", || node.closed_connections.load(Ordering::SeqCst) == 1);
 }
 
 /// Guards against a wrong result when an answer meets a reset: with the complete answer in the kernel before the reset, the
--- a/crates/programs/tests/platform.rs
+++ b/crates/programs/tests/platform.rs
@@ -83,10 +83,10 @@
 #[test_case(first_503, "buy", 500, 1; "503 without X-Not-Processed")]
 #[test_case(first_closed, "buy", 500, 1; "closed without an answer, once only")]
 #[test_case(first_closed, "lookup", 200, 2; "closed without an answer, repeatable")]
-#[test_case(first_too_long, "buy", 500, 1; "three gigabytes, once only")]
-#[test_case(first_too_long, "lookup", 200, 2; "three gigabytes, repeatable")]
+#[test_case(first_too_long, "buy", 500, 1; "3 GB answer, once only")]
+#[test_case(first_too_long, "lookup", 200, 2; "3 GB answer, repeatable")]
 #[test_case(first_malformed, "lookup", 200, 2; "malformed answer, repeatable")]
-fn outcomes(script: Script, class: &str, status: u16, shots: usize) {
+fn node_response_determines_the_final_answer(script: Script, class: &str, status: u16, shots: usize) {
     let node = Node::start(script);
     let (gateway, _discovery) = Gateway::start_with_node(&node);
     let (actual_status, head, body) = gateway.send_request(class, "9b1f03aa5c7e2d41");
@@ -196,10 +196,10 @@
 #[test_case("PUT /api HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "two framings")]
 #[test_case("PUT /api HTTP/1.1\r\nHost: a\r\nContent-Length: -4\r\n\r\n", 400; "negative length")]
 #[test_case("PUT /api HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n", 413; "60 MB")]
-#[test_case("noise\r\n\r\n", 400; "noise")]
+#[test_case("noise\r\n\r\n", 400; "not HTTP")]
 #[test_case("GET /api HTTP/1.1\r\nHost: a\r\n\r\n", 400; "required headers missing")]
 #[test_case("PUT /api HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbo", 408; "partial request")]
-#[test_case("", 0; "silence")]
+#[test_case("", 0; "nothing sent")]
 fn malformed_requests_are_refused(input: &str, status: u16) {
     let node = Node::start(answer_ok);
     let (gateway, _discovery) = Gateway::start_with_node(&node);
--- a/crates/programs/tests/rig/gateway.rs
+++ b/crates/programs/tests/rig/gateway.rs
@@ -52,8 +52,8 @@
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         let address = loop {
             let line = log.next().expect("a log line with the listening address").expect("text");
-            if let Some((_, rest)) = line.split_once("listening address=") {
-                break rest.split(' ').next().and_then(|text| text.parse().ok()).expect("an address");
+            if let Some((_, fields)) = line.split_once("listening address=") {
+                break fields.split(' ').next().and_then(|text| text.parse().ok()).expect("an address");
             }
         };
         let log_lines = Arc::<Mutex<Vec<String>>>::default();
@@ -78,7 +78,7 @@
 
     /// Sends this signal to the process, which must be running.
     pub fn send_signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
+        kill_process(Pid::from_child(&self.child), signal).expect("the process is running");
     }
 
     /// Whether a line of its log contains this text.
@@ -104,7 +104,7 @@
         let stat_path = format!("/proc/{}/stat", self.child.id());
         wait_until("the process is stopped", || {
             std::fs::read_to_string(&stat_path)
-                .is_ok_and(|text| text.rsplit(')').next().is_some_and(|rest| rest.starts_with(" T")))
+                .is_ok_and(|text| text.rsplit(')').next().is_some_and(|fields| fields.starts_with(" T")))
         });
         let result = action();
         self.send_signal(Signal::CONT);
@@ -114,7 +114,8 @@
     /// The number of its sockets that are still connecting. Its own descriptors are inspected because the kernel's table of
     /// all connections also lists those that earlier test suites left behind, and then takes long to read.
     pub fn connecting_sockets(&self) -> usize {
-        let process = pidfd_open(Pid::from_child(&self.child), PidfdFlags::empty()).expect("it runs");
+        let process =
+            pidfd_open(Pid::from_child(&self.child), PidfdFlags::empty()).expect("the process is running");
         let entries = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors");
         let descriptor_numbers = entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
         // A descriptor that was closed since the directory was read cannot be duplicated and is skipped.
@@ -125,7 +126,7 @@
 
     /// Opens a client connection with a read timeout of [`MAX_WAIT`].
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.address).expect("it listens");
+        let stream = TcpStream::connect(self.address).expect("the gateway listens");
         stream.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
         stream
     }
