--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -12,16 +12,16 @@
 use quaypath_record::{Clock, Event, Writer};
 
 use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd};
-use quaypath_standins::client::{self, Clients, Tally};
+use quaypath_standins::client::{self, ClientCounts, Clients};
 use quaypath_standins::links::Links;
-use quaypath_standins::model::Figures;
+use quaypath_standins::model::ModelConfig;
 use quaypath_standins::register::Register;
-use quaypath_standins::target::{self, zone_of, Fleet, Target};
+use quaypath_standins::target::{self, zone_of, SharedData, Target};
 use rustix::process::{kill_process, Pid, Signal};
 use thiserror::Error;
 use tracing::{debug, info, warn};
 
-use crate::plan::{script, traffic, Act};
+use crate::plan::{script, traffic, Action};
 
 #[derive(Debug, Error)]
 pub enum Error {
@@ -40,34 +40,34 @@
 
 pub struct Options {
     /// The gateway's program.
-    pub gateway: PathBuf,
+    pub gateway_program: PathBuf,
     /// The deployment's file, as the gateways read it.
     pub deployment: PathBuf,
     /// Where record, lists and logs go.
     pub folder: PathBuf,
     /// Run the careless baseline in the gateways.
-    pub careless: bool,
+    pub baseline: bool,
     /// What gateways tell and lend each other, in place of the settings'.
     pub signals: Option<String>,
     /// A safeguard of theirs that is taken away, by name.
-    pub without: Option<String>,
+    pub disabled_safeguard: Option<String>,
 }
 
 /// What the gateways said of themselves at the end; for the table only, never for the verdict.
-pub type Books = BTreeMap<u32, serde_json::Value>;
+pub type GatewayCounts = BTreeMap<u32, serde_json::Value>;
 
 /// Memory held by a gateway's process, by second of the day: resident KiB.
-pub type Memory = BTreeMap<u32, Vec<(f64, u64)>>;
+pub type MemorySamples = BTreeMap<u32, Vec<(f64, u64)>>;
 
 /// What a day leaves beside its record.
-pub struct Left {
-    pub books: Books,
-    pub memory: Memory,
-    pub tally: Tally,
+pub struct Outcome {
+    pub gateway_counts: GatewayCounts,
+    pub memory: MemorySamples,
+    pub clients: ClientCounts,
     /// How often faults of links struck, by kind.
-    pub struck: BTreeMap<String, u64>,
+    pub link_faults: BTreeMap<String, u64>,
     /// Processor time of each gateway's process, seconds, and how long it ran.
-    pub processor: BTreeMap<u32, (f64, f64)>,
+    pub processor_times: BTreeMap<u32, (f64, f64)>,
 }
 
 /// How often the gateways' memory is looked at, seconds.
@@ -106,7 +106,7 @@
         let number = self.number;
         let log = options.folder.join(format!("gateway-{number}-{}.log", self.lives));
         let log = std::fs::File::create(&log).map_err(io(log.display().to_string()))?;
-        let mut command = Command::new(&options.gateway);
+        let mut command = Command::new(&options.gateway_program);
         command
             .arg("--settings")
             .arg(&options.deployment)
@@ -118,27 +118,27 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(log);
-        if options.careless {
+        if options.baseline {
             command.arg("--careless");
         }
-        for (name, value) in [("--signals", &options.signals), ("--without", &options.without)] {
+        for (name, value) in [("--signals", &options.signals), ("--without", &options.disabled_safeguard)] {
             if let Some(value) = value {
                 command.args([name, value]);
             }
         }
         let mut own = self.address;
         own.set_port(0);
-        let links = links.filter(|links| !links.members.is_empty());
+        let links = links.filter(|links| !links.member_addresses.is_empty());
         if let Some(links) = links {
             command.args(["--fleet-listen", &own.to_string()]);
-            for (member, address) in &links.members {
+            for (member, address) in &links.member_addresses {
                 command.args(["--member", &format!("{member}={address}")]);
             }
         }
         if !self.twin {
             record.put(Event::GatewayStarted { t: record.clock.now(), gateway: number });
         }
-        let mut child = command.spawn().map_err(io(options.gateway.display().to_string()))?;
+        let mut child = command.spawn().map_err(io(options.gateway_program.display().to_string()))?;
         let (stdin, stdout) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
         let mut lines = BufReader::new(stdout);
         let mut line = String::new();
@@ -160,7 +160,7 @@
                     what: format!("'{}' in place of its fleet's address", line.trim()),
                 });
             };
-            links.home(number, self.lives, talks_at);
+            links.add_process(number, self.lives, talks_at);
             self.talks_at = Some(talks_at);
         }
         self.process = Some((child, stdin, lines));
@@ -209,7 +209,7 @@
             let _ = child.kill();
             let _ = child.wait();
             if let (Some(links), Some(talks_at)) = (links, self.talks_at.take()) {
-                links.gone(self.number, talks_at);
+                links.remove_process(self.number, talks_at);
             }
             if self.twin {
                 return;
@@ -247,7 +247,7 @@
     options: &'a Options,
     record: Writer,
     register: Register,
-    fleet: Arc<Fleet>,
+    fleet: Arc<SharedData>,
     nominal: Arc<BTreeMap<u32, f64>>,
     volumes: Arc<BTreeMap<u32, u64>>,
     targets: BTreeMap<i64, Target>,
@@ -258,13 +258,13 @@
     /// Parts of the data by the names of the nodes that hold them.
     blocks: Arc<Mutex<BTreeMap<String, i64>>>,
     started: u64,
-    memory: Memory,
+    memory: MemorySamples,
     looked_at: f64,
 }
 
 impl Stage<'_> {
     fn target(&mut self, block: i64, cold: bool) -> Result<(), Error> {
-        let listener = target::listener().map_err(io("a target's port"))?;
+        let listener = target::loopback_listener().map_err(io("a target's port"))?;
         self.target_at(block, cold, listener)
     }
 
@@ -272,35 +272,35 @@
         let (fleet, core) = (&self.day.fleet, &self.deployment.core);
         let zone = zone_of(block, self.deployment.zones);
         let bands = self.deployment.rule_parameters.bands.iter();
-        let bands = bands.map(|band| target::BandRule::of(band, &zone, block)).collect();
+        let bands = bands.map(|band| target::BandRule::for_target(band, &zone, block)).collect();
         self.started += 1;
         let options = target::Options {
             block,
             zone: zone.clone(),
             cold,
             seed: self.day.seed.wrapping_mul(31).wrapping_add(self.started),
-            figures: Figures {
+            model: ModelConfig {
                 cores: fleet.cores as usize,
                 unit_time: fleet.unit_time,
-                run_part: fleet.run_part,
-                recent: 3,
-                put_off: fleet.put_off,
-                flush_every: fleet.flush_every,
-                queue: fleet.queue * fleet.cores as usize,
+                recent_extent_factor: fleet.run_part,
+                recent_extents: 3,
+                deferred_write_share: fleet.put_off,
+                flush_interval: fleet.flush_every,
+                queue_capacity: fleet.queue * fleet.cores as usize,
                 start_capacity: core.start_capacity,
-                warm_after: fleet.warm_after,
-                fall_multiple: core.overload_multiple,
-                overload_for: core.overload_window,
-                young_units: core.cold_start_units,
-                cancel_stops: fleet.cancel_stops,
+                warm_up: fleet.warm_after,
+                overload_multiple: core.overload_multiple,
+                overload_window: core.overload_window,
+                cold_start_units: core.cold_start_units,
+                cancel_stops_running: fleet.cancel_stops,
             },
             bands,
-            metering: self.deployment.metering_period,
-            nominal: self.nominal.clone(),
+            metering_period: self.deployment.metering_period,
+            nominal_rates: self.nominal.clone(),
             volumes: self.volumes.clone(),
-            takes: target::TAKES,
-            fleet: self.fleet.clone(),
-            spread: 0.4,
+            accepted_format: target::ACCEPTED_FORMAT,
+            shared: self.fleet.clone(),
+            work_sigma: 0.4,
         };
         let target = Target::start(options, listener, self.record.clone()).map_err(io("a target"))?;
         let mut blocks = self.blocks.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -308,7 +308,7 @@
         drop(blocks);
         let started = cold.then(|| self.record.clock.now());
         let notice = if cold { fleet.notice * 0.5 } else { 0.0 };
-        self.register.list(&target.node, &zone, block, NodeCondition::Ready, started, notice);
+        self.register.set_entry(&target.node, &zone, block, NodeCondition::Ready, started, notice);
         self.targets.insert(block, target);
         Ok(())
     }
@@ -317,38 +317,38 @@
         self.record.put(Event::Fault { t: self.record.clock.now(), kind: name_of(kind), on, begins });
     }
 
-    fn act(&mut self, act: &Act) -> Result<(), Error> {
+    fn act(&mut self, act: &Action) -> Result<(), Error> {
         debug!(?act, "script");
         match act {
-            Act::Node { kind, block, size, begins } => {
+            Action::Node { kind, block, size, begins } => {
                 let Some(target) = self.targets.get(block) else { return Ok(()) };
                 let (on, size, begins) = (target.node.clone(), *size, *begins);
-                target.set(|faults| match kind {
-                    FaultKind::Slow => faults.slow = if begins { size } else { 1.0 },
+                target.set_faults(|faults| match kind {
+                    FaultKind::Slow => faults.slowdown = if begins { size } else { 1.0 },
                     FaultKind::Pauses => faults.pause = if begins { size } else { 0.0 },
-                    FaultKind::FastErrors => faults.errors = if begins { size } else { 0.0 },
-                    FaultKind::LostAnswers => faults.lost = if begins { size } else { 0.0 },
-                    FaultKind::Resets => faults.resets = if begins { size } else { 0.0 },
-                    FaultKind::Refused => faults.refuse = begins,
-                    FaultKind::Partition => faults.partition = begins,
+                    FaultKind::FastErrors => faults.error_share = if begins { size } else { 0.0 },
+                    FaultKind::LostAnswers => faults.lost_share = if begins { size } else { 0.0 },
+                    FaultKind::Resets => faults.resets_per_second = if begins { size } else { 0.0 },
+                    FaultKind::Refused => faults.refuse_connections = begins,
+                    FaultKind::Partition => faults.hold_output = begins,
                     FaultKind::Neighbour => {
-                        faults.slow = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
+                        faults.slowdown = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
                     }
-                    FaultKind::HeavyTail => faults.heavy = if begins { size } else { 0.0 },
-                    FaultKind::Rogue => faults.rogue = if begins { size } else { 0.0 },
-                    FaultKind::LateReports => faults.late = if begins { size } else { 0.0 },
+                    FaultKind::HeavyTail => faults.heavy_share = if begins { size } else { 0.0 },
+                    FaultKind::Rogue => faults.violation_share = if begins { size } else { 0.0 },
+                    FaultKind::LateReports => faults.report_delay = if begins { size } else { 0.0 },
                     _ => {}
                 });
                 self.fault(*kind, on, begins);
             }
-            Act::Drain { block } => self.unlist(*block, NodeCondition::Draining, 0.0),
-            Act::KillNode { block } => {
+            Action::Drain { block } => self.unlist(*block, NodeCondition::Draining, 0.0),
+            Action::KillNode { block } => {
                 // The register sees a dead process later than a notice.
                 self.unlist(*block, NodeCondition::Removed, self.day.fleet.notice);
                 self.targets.remove(block);
             }
-            Act::Replace { block } => self.target(*block, true)?,
-            Act::Restart { block, after } => {
+            Action::Replace { block } => self.target(*block, true)?,
+            Action::Restart { block, after } => {
                 let Some(target) = self.targets.remove(block) else { return Ok(()) };
                 let address: SocketAddr = target.node.parse().expect("a target's name is its address");
                 // The process is gone before its successor binds.
@@ -358,11 +358,11 @@
                     std::net::TcpListener::bind(address).map_err(io(format!("{address}, again")))?;
                 self.target_at(*block, true, listener)?;
             }
-            Act::KillGateway { number } => {
+            Action::KillGateway { number } => {
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.kill(self.links.as_ref(), &self.record));
             }
-            Act::StartGateway { number } => {
+            Action::StartGateway { number } => {
                 let register = register_of(self.day, &self.register, self.links.as_ref(), *number)?;
                 if let Some(gateway) =
                     self.gateways.get_mut(number).filter(|gateway| gateway.process.is_none())
@@ -370,12 +370,12 @@
                     gateway.start(self.options, register, self.links.as_ref(), &self.record)?;
                 }
             }
-            Act::ForgetGateway { number } => {
+            Action::ForgetGateway { number } => {
                 let list = self.gateways.get(number).map(|gateway| gateway.list(&self.options.folder));
                 // A process that never had a list has none to lose.
                 list.into_iter().for_each(|list| drop(std::fs::remove_file(list)));
             }
-            Act::Twin { number, begins } => {
+            Action::Twin { number, begins } => {
                 self.fault(FaultKind::Twins, number.to_string(), *begins);
                 if *begins {
                     let register = register_of(self.day, &self.register, self.links.as_ref(), *number)?;
@@ -386,12 +386,12 @@
                     twin.kill(self.links.as_ref(), &self.record);
                 }
             }
-            Act::Clock { number, rate, step, begins } => {
+            Action::Clock { number, rate, step, begins } => {
                 self.fault(FaultKind::Clock, number.to_string(), *begins);
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("clock {rate} {step}")));
             }
-            Act::Manner { kind, number, begins } => {
+            Action::Manner { kind, number, begins } => {
                 self.fault(*kind, number.to_string(), *begins);
                 let manner = match kind {
                     FaultKind::Shouts if *begins => "shouts",
@@ -401,14 +401,14 @@
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("signals {manner}")));
             }
-            Act::Disk { number, lasts } => {
+            Action::Disk { number, lasts } => {
                 self.fault(FaultKind::DiskStands, number.to_string(), true);
                 let gateway = self.gateways.get_mut(number);
                 gateway.into_iter().for_each(|gateway| gateway.say(&format!("disk {lasts}")));
             }
-            Act::Link { kind, from, to, size, begins } => {
+            Action::Link { kind, from, to, size, begins } => {
                 if let Some(links) = &self.links {
-                    links.set(*kind, from, to, *size, *begins);
+                    links.set_fault(*kind, from, to, *size, *begins);
                 }
                 let gateways = |ends: &std::collections::BTreeSet<LinkEnd>| {
                     let gateway = |end: &LinkEnd| match end {
@@ -421,18 +421,18 @@
                 let (t, kind) = (self.record.clock.now(), name_of(*kind));
                 self.record.put(Event::LinkFault { t, kind, from, to, size: *size, begins: *begins });
             }
-            Act::StopGateway { number } | Act::ContinueGateway { number } => {
-                let begins = matches!(act, Act::StopGateway { .. });
+            Action::StopGateway { number } | Action::ContinueGateway { number } => {
+                let begins = matches!(act, Action::StopGateway { .. });
                 let (kind, on) = ("stall".to_string(), number.to_string());
                 if let Some(gateway) = self.gateways.get(number).filter(|gateway| gateway.process.is_some()) {
                     gateway.signal(if begins { Signal::STOP } else { Signal::CONT });
                 }
                 self.record.put(Event::Fault { t: self.record.clock.now(), kind, on, begins });
             }
-            Act::Register { kind, size, begins } => {
+            Action::Register { kind, size, begins } => {
                 match kind {
-                    FaultKind::RegisterFails => self.register.fails(*begins),
-                    _ => self.register.late(if *begins { *size } else { 0.0 }),
+                    FaultKind::RegisterFails => self.register.set_failing(*begins),
+                    _ => self.register.set_delay(if *begins { *size } else { 0.0 }),
                 }
                 self.fault(*kind, "register".into(), *begins);
             }
@@ -461,7 +461,7 @@
     fn unlist(&self, block: i64, condition: NodeCondition, after: f64) {
         if let Some(target) = self.targets.get(&block) {
             let zone = zone_of(block, self.deployment.zones);
-            self.register.list(&target.node, &zone, block, condition, None, after);
+            self.register.set_entry(&target.node, &zone, block, condition, None, after);
         }
     }
 }
@@ -489,9 +489,9 @@
 ) -> Result<SocketAddr, Error> {
     let links = links.filter(|_| day.fault.iter().any(|fault| fault.kind.affects_links()));
     match links {
-        Some(links) => {
-            links.via(number, LinkEnd::Register, register.address).map_err(io("a link to the register"))
-        }
+        Some(links) => links
+            .relay_address(number, LinkEnd::Register, register.address)
+            .map_err(io("a link to the register")),
         None => Ok(register.address),
     }
 }
@@ -506,7 +506,7 @@
     fn up(day: &'a Day, deployment: &'a Deployment, options: &'a Options) -> Result<Stage<'a>, Error> {
         std::fs::create_dir_all(&options.folder).map_err(io(options.folder.display().to_string()))?;
         let record = Writer::file(&record_path(&options.folder), Clock::default())?;
-        let listener = target::listener().map_err(io("the register's port"))?;
+        let listener = target::loopback_listener().map_err(io("the register's port"))?;
         let relays = relays_nodes(day, deployment);
         let links = match &deployment.fleet {
             Some(talk) => Some(Links::start(&talk.name, day.fleet.gateways, day.seed, record.clone())),
@@ -520,9 +520,9 @@
             let block = known.lock().unwrap_or_else(std::sync::PoisonError::into_inner).get(node).copied()?;
             Some(LinkEnd::Node(block as u32))
         };
-        let via = links.as_ref().filter(|_| relays).map(|links| links.by_register(of_node));
+        let via = links.as_ref().filter(|_| relays).map(|links| links.relay_addresses(of_node));
         let mode = deployment.register.mode;
-        let register = Register::start_via(mode, listener, record.clone(), via);
+        let register = Register::start_with_addresses(mode, listener, record.clone(), via);
         let nominal =
             deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect();
         let mut stage = Stage {
@@ -540,7 +540,7 @@
             links,
             blocks,
             started: 0,
-            memory: Memory::new(),
+            memory: MemorySamples::new(),
             looked_at: f64::NEG_INFINITY,
         };
         for block in 0..i64::from(day.fleet.nodes) {
@@ -556,18 +556,18 @@
     }
 
     /// Ends the gateways in order; what they counted.
-    fn down(&mut self) -> Books {
-        let books = self.gateways.iter_mut();
-        books.filter_map(|(number, gateway)| Some((*number, gateway.finish()?))).collect()
+    fn down(&mut self) -> GatewayCounts {
+        let gateway_counts = self.gateways.iter_mut();
+        gateway_counts.filter_map(|(number, gateway)| Some((*number, gateway.finish()?))).collect()
     }
 }
 
 /// Keeps a day's fleet up, with no traffic of its own, until `over` says so. `ready` is given the gateways' addresses;
 /// the day's troubles begin when `begins` gives a time on the record's clock, and not before.
-pub fn fleet(
+pub fn run_fleet(
     day: &Day, deployment: &Deployment, options: &Options, ready: impl FnOnce(&[(u32, SocketAddr)]),
     begins: impl Fn() -> Option<f64>, over: impl Fn() -> bool,
-) -> Result<Books, Error> {
+) -> Result<GatewayCounts, Error> {
     let mut stage = Stage::up(day, deployment, options)?;
     let addresses: Vec<_> =
         stage.gateways.iter().map(|(number, gateway)| (*number, gateway.address)).collect();
@@ -581,16 +581,16 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    let books = stage.down();
+    let gateway_counts = stage.down();
     let record = stage.record.clone();
     drop(stage);
     record.flush()?;
-    Ok(books)
+    Ok(gateway_counts)
 }
 
 /// Runs the day; gives what the gateways counted, the memory they held and how the clients fared. The record is
 /// in the folder.
-pub fn run(day: &Day, deployment: &Deployment, options: &Options) -> Result<Left, Error> {
+pub fn run(day: &Day, deployment: &Deployment, options: &Options) -> Result<Outcome, Error> {
     let mut stage = Stage::up(day, deployment, options)?;
     let record = stage.record.clone();
     let asks = Arc::new(traffic(day, deployment));
@@ -611,8 +611,8 @@
             retries: day.traffic.retries,
             backoff: 0.1,
             gateways: stage.gateways.iter().map(|(number, gateway)| (*number, gateway.address)).collect(),
-            plan: asks,
-            start,
+            schedule: asks,
+            start_time: start,
         },
         record.clone(),
     );
@@ -624,24 +624,24 @@
     stage.wait_until(start, start + day.lasts);
     let longest = deployment.max_outer_limit();
     let latest = start + day.lasts + 2.0 * longest + 3.0;
-    while !clients.tally.lock().unwrap().done && record.clock.now() < latest {
+    while !clients.counts.lock().unwrap().is_done && record.clock.now() < latest {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let tally = clients.tally.lock().unwrap().clone();
-    if !tally.done {
-        warn!(open = tally.open, "clients still wait at the end of the day");
+    let tally = clients.counts.lock().unwrap().clone();
+    if !tally.is_done {
+        warn!(open = tally.outstanding, "clients still wait at the end of the day");
     }
     // What still runs at the nodes is given the time to show.
     std::thread::sleep(Duration::from_millis(200));
     drop(clients);
-    let struck = stage.links.as_ref().map(Links::struck).unwrap_or_default();
-    let processor =
+    let link_faults = stage.links.as_ref().map(Links::injected_faults).unwrap_or_default();
+    let processor_times =
         stage.gateways.iter().filter_map(|(number, gateway)| Some((*number, gateway.processor()?)));
-    let processor = processor.collect();
-    let books = stage.down();
+    let processor_times = processor_times.collect();
+    let gateway_counts = stage.down();
     record.flush()?;
     let memory = std::mem::take(&mut stage.memory);
     drop(stage);
     record.flush()?;
-    Ok(Left { books, memory, tally, struck, processor })
+    Ok(Outcome { gateway_counts, memory, clients: tally, link_faults, processor_times })
 }
