--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -84,7 +84,7 @@
 pub struct ClientCounts {
     /// Commands sent, retries included.
     pub commands_sent: u64,
-    /// Commands answered; answers to cancelled commands do not count.
+    /// Commands answered, except those that were answered as aborted.
     pub answered: u64,
     /// First attempts for which the gateway had no open queue with a free slot.
     pub unreachable: u64,
@@ -157,6 +157,7 @@
     Cancel(u64),
 }
 
+/// State of all clients, shared by their tasks.
 struct State {
     options: Options,
     record: Writer,
@@ -165,8 +166,9 @@
     counts: Arc<Mutex<ClientCounts>>,
     /// By gateway and queue id; 0 is the admin queue and 1 the I/O queue.
     queues: HashMap<(u32, u16), Queue>,
-    /// By mark.
+    /// By mark: the operation number, followed by the number of the retry in the last byte.
     outstanding: HashMap<u64, Outstanding>,
+    /// Number of the next operation, from 1.
     next_operation: u64,
     /// Index in the schedule of the next first attempt.
     next_index: usize,
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -55,6 +55,7 @@
     }
 }
 
+/// State of the relays, shared with the controlling thread.
 #[derive(Default)]
 struct State {
     active: Vec<ActiveFault>,
@@ -74,6 +75,7 @@
 #[derive(Default)]
 struct DatagramEffect {
     lost: bool,
+    /// Number of datagrams to send, 1 without a fault.
     copies: u32,
     /// Seconds.
     delay: f64,
@@ -81,10 +83,12 @@
 }
 
 impl State {
+    /// Active faults that affect data from `from` to `to`.
     fn faults_between(&self, from: LinkEnd, to: LinkEnd) -> impl Iterator<Item = &ActiveFault> {
         self.active.iter().filter(move |fault| fault.affects(from, to))
     }
 
+    /// Counts one occurrence of a fault.
     fn count_injected(&mut self, kind: FaultKind) {
         *self.injected.entry(format!("{kind:?}")).or_default() += 1;
     }
@@ -123,6 +127,7 @@
     /// Relay address to which datagrams for each member are to be sent.
     pub member_addresses: BTreeMap<u32, SocketAddr>,
     state: SharedState,
+    /// Requests to open a relay: its listener, the link ends of gateway and destination, and the destination address.
     requests: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
     _running: Runtime,
 }
@@ -280,6 +285,7 @@
 
 /// The relay of the datagrams that are sent to one member.
 struct Relay {
+    /// Number of the member.
     number: u32,
     socket: Rc<Async<UdpSocket>>,
     state: SharedState,
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -76,11 +76,13 @@
     recent_extents: VecDeque<u64>,
     /// Deferred work, seconds of one core; the next flush divides it among all cores.
     deferred_work: f64,
+    /// Time of the next flush.
     flush_at: f64,
     /// End of the current flush or scripted pause, during which no core executes transactions.
     stopped_until: f64,
     /// Time and units of each arrival within the overload window.
     arrived: VecDeque<(f64, f64)>,
+    /// Sum of the units in `arrived`.
     arrived_units: f64,
     /// Factor on the duration of all work, set by a fault; 1 without a fault.
     pub slowdown: f64,
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -168,6 +168,7 @@
     sent_nodes: BTreeSet<String>,
 }
 
+/// State of the register, shared by its tasks.
 struct State {
     log: Arc<Mutex<ChangeLog>>,
     record: Writer,
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -219,6 +219,7 @@
 pub struct Target {
     /// Address, which is also the name of the node.
     pub node: String,
+    /// Current faults.
     pub faults: SharedMutex<Faults>,
     record: Writer,
     running: Option<Runtime>,
@@ -277,6 +278,7 @@
     jobs: HashMap<u16, u64>,
 }
 
+/// State of a target, shared by its tasks.
 struct State {
     options: Options,
     name: String,
@@ -285,7 +287,7 @@
     node: NodeModel<Shot>,
     random: SmallRng,
     connections: HashMap<u64, Connection>,
-    next: u64,
+    next_number: u64,
     associations: Associations,
     /// By gateway and volume: units executed for other gateways since the last answer to this gateway.
     others_units: HashMap<(u32, u32), f64>,
@@ -315,7 +317,7 @@
         faults,
         options,
         connections: HashMap::new(),
-        next: 1,
+        next_number: 1,
         associations: Associations::new(MAX_CONNECTIONS),
         others_units: HashMap::new(),
         service_times: Default::default(),
@@ -335,8 +337,8 @@
     if refuse || this.connections.len() >= MAX_CONNECTIONS {
         return None;
     }
-    let number = this.next;
-    this.next += 1;
+    let number = this.next_number;
+    this.next_number += 1;
     let connection = Connection {
         stream,
         protocol: Controller::taking(this.options.accepted_format),
