--- a/crates/programs/tests/soak/record.rs
+++ b/crates/programs/tests/soak/record.rs
@@ -1,107 +1,84 @@
-//! What peers of the gateway saw in a run, with its time in seconds since the run's begin.
+//! Events that the peers of the gateway observe in a run, each with its time in seconds since the start of the run.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// What a request may be repeated for, by its class.
+/// Class of a request; decides whether it may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// May be sent again.
+    /// Repeatable: may be sent again.
     Lookup,
-    /// May have its effect once only.
+    /// Once-only: may take effect at most once.
     Buy,
 }
 
+/// An observation by a peer of the gateway or by the test itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The last byte of a request was written to a connection that the process had accepted.
-    Written {
+    RequestWritten {
         id: String,
         process: usize,
         class: Class,
+        /// Time until the deadline of the request, seconds.
         budget: f64,
+        /// Whether it is the first request on its connection.
         fresh_connection: bool,
     },
-    /// Its answer came whole.
-    Answered {
-        id: String,
-        status: u16,
-        body: String,
-    },
-    /// Its connection ended without a whole answer.
-    Unanswered {
-        id: String,
-    },
-    /// Nothing came for as long as anything could.
-    Silent {
-        id: String,
-    },
-    /// Its client closed the connection.
-    Left {
-        id: String,
-    },
-    /// The first byte of an attempt came.
-    AttemptBegan {
-        id: String,
-        node: usize,
-    },
-    /// Its last byte came; what it says that it waits, seconds, and how many attempts before it were still open.
+    /// The client received the whole answer.
+    AnswerReceived { id: String, status: u16, body: String },
+    /// The connection ended before the client had received the whole answer.
+    ClosedUnanswered { id: String },
+    /// Neither an answer nor the end of the connection came before the client gave up.
+    TimedOut { id: String },
+    /// The client closed the connection.
+    ClientDisconnected { id: String },
+    /// The first byte of an attempt reached a node.
+    AttemptBegan { id: String, node: usize },
+    /// The last byte of an attempt reached a node.
     AttemptArrived {
         id: String,
         node: usize,
-        wait: f64,
+        /// The timeout that the attempt carries, seconds.
+        timeout: f64,
+        /// Earlier attempts of the same request that were still open.
         open_before: usize,
     },
-    /// The node turned it away without running it.
-    TurnedAway {
-        id: String,
-    },
+    /// The node refused the attempt without running it.
+    AttemptRefused { id: String },
     /// The node answered 200.
-    Served {
-        id: String,
-    },
-    /// Discovery wrote a list in which the node drains, or is no longer there.
-    DrainTold {
-        process: usize,
-        node: usize,
-    },
-    Started {
-        process: usize,
-    },
+    AttemptServed { id: String },
+    /// Discovery wrote a list to the process in which the node is draining or missing.
+    DrainReported { process: usize, node: usize },
+    /// A process was started.
+    Started { process: usize },
+    /// A process answered its readiness check, or the time for it was up.
     Ready {
         process: usize,
+        /// Time since its start, seconds.
         after: f64,
     },
+    /// A process was stopped by SIGSTOP and has been continued.
     Paused {
         process: usize,
-        lasts: f64,
-    },
-    Terminated {
-        process: usize,
-    },
-    /// It ended by itself, with this code.
-    Exited {
-        process: usize,
-        code: Option<i32>,
-    },
-    Killed {
-        process: usize,
-    },
-    /// What the process held when it was looked at.
-    Held {
-        process: usize,
-        resident_kb: usize,
-        descriptors: usize,
-    },
-    /// A line of its log told of a panic.
-    Panicked {
-        process: usize,
-        line: String,
-    },
-    /// A planned trouble struck.
-    Struck(&'static str),
+        /// Seconds.
+        duration: f64,
+    },
+    /// A process was sent SIGTERM.
+    Terminated { process: usize },
+    /// A process exited with this code; no code if a signal ended it.
+    Exited { process: usize, code: Option<i32> },
+    /// A process was killed by SIGKILL.
+    Killed { process: usize },
+    /// Resources that a process used when it was sampled.
+    ResourcesSampled { process: usize, resident_kb: usize, descriptors: usize },
+    /// The log of a process contains a panic.
+    Panicked { process: usize, line: String },
+    /// A fault of this kind occurred.
+    FaultOccurred(&'static str),
 }
 
+/// Collects the events of a run; clones share the events.
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
@@ -113,30 +90,34 @@
         Recorder { began: Instant::now(), events: Arc::default() }
     }
 
+    /// Seconds since the start of the run.
     pub fn now(&self) -> f64 {
         self.began.elapsed().as_secs_f64()
     }
 
-    pub fn note(&self, event: Event) {
+    /// Records an event that happens now.
+    pub fn record(&self, event: Event) {
         let mut events = self.events.lock().expect("no panic");
-        // Read under the lock, so that the order is that of the times.
+        // The clock is read under the lock, so that the events are in the order of their times.
         let now = self.now();
         events.push((now, event));
     }
 
-    pub fn note_at(&self, at: Instant, event: Event) {
-        let at = at.saturating_duration_since(self.began).as_secs_f64();
-        self.events.lock().expect("no panic").push((at, event));
+    /// Records an event of an earlier moment.
+    pub fn record_at(&self, moment: Instant, event: Event) {
+        let time = moment.saturating_duration_since(self.began).as_secs_f64();
+        self.events.lock().expect("no panic").push((time, event));
     }
 
-    pub fn strike(&self, what: &'static str) {
-        self.note(Event::Struck(what));
+    /// Records that a fault of this kind occurred.
+    pub fn record_fault(&self, kind: &'static str) {
+        self.record(Event::FaultOccurred(kind));
     }
 
-    /// All events in the order of their times.
+    /// All events, sorted by time.
     pub fn events(&self) -> Vec<(f64, Event)> {
         let mut events = self.events.lock().expect("no panic").clone();
-        events.sort_by(|one, other| one.0.total_cmp(&other.0));
+        events.sort_by(|left, right| left.0.total_cmp(&right.0));
         events
     }
 }
