--- a/crates/programs/tests/helper/mod.rs
+++ b/crates/programs/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway as a process, scripted peers on both sides of it, everything on loopback.
+//! Test harness: one gateway process with scripted clients and nodes, all on loopback.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -26,41 +26,50 @@
 pub const BUY: u8 = 2;
 pub const SCRAPPED: u16 = status::INTERNAL_ERROR | status::DNR;
 pub const DECLINED: u16 = status::INTERRUPTED | status::CRD1;
-/// Bounds every wait for a condition; far above what any takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of every wait for a condition, far above the usual time.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Two bands, one limitless plan, volumes 1 to 8 on one node each, figures by the test's needs.
-pub struct Shape {
+/// Settings of a test deployment with two bands, one plan without a limit, and volumes of one node each. Times are in seconds.
+pub struct TestSettings {
     pub nodes: u32,
-    pub connections: u32,
+    /// Maximum of client connections.
+    pub max_connections: u32,
+    /// Time that a peer has to complete a PDU that it has begun.
     pub half_pdu: f64,
-    pub grace: f64,
-    pub outer: f64,
+    /// Drain grace.
+    pub drain_grace: f64,
+    /// Outer limit of both bands.
+    pub outer_limit: f64,
     pub volumes: u32,
-    pub open: u32,
-    pub idle: f64,
+    /// Maximum of open transactions.
+    pub max_open: u32,
+    /// Time after which an unused connection is closed.
+    pub idle_timeout: f64,
+    /// Keep alive time towards nodes; 0 for none.
     pub keep_alive: f64,
+    /// `none` or `both`: the digests that the gateway asks nodes for.
     pub digests: &'static str,
 }
 
-impl Default for Shape {
+impl Default for TestSettings {
     fn default() -> Self {
-        Shape {
+        TestSettings {
             nodes: 1,
-            connections: 64,
+            max_connections: 64,
             half_pdu: 5.0,
-            grace: 1.0,
-            outer: 2.0,
+            drain_grace: 1.0,
+            outer_limit: 2.0,
             volumes: 8,
-            open: 2048,
-            idle: 30.0,
+            max_open: 2048,
+            idle_timeout: 30.0,
             keep_alive: 0.0,
             digests: "none",
         }
     }
 }
 
-pub fn folder() -> PathBuf {
+/// Creates a temporary folder.
+pub fn temp_folder() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("quaypath-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let folder = std::env::temp_dir().join(name);
@@ -68,22 +77,33 @@
     folder
 }
 
-impl Shape {
-    fn text(&self) -> String {
-        let Shape { nodes, connections, half_pdu, grace, outer, volumes, open, idle, keep_alive, digests } =
-            self;
+impl TestSettings {
+    /// The deployment file.
+    fn to_xml(&self) -> String {
+        let TestSettings {
+            nodes,
+            max_connections,
+            half_pdu,
+            drain_grace,
+            outer_limit,
+            volumes,
+            max_open,
+            idle_timeout,
+            keep_alive,
+            digests,
+        } = self;
         let band = |name: &str, repeat: &str, writes: bool| {
             format!(
-                r#"<band name="{name}" due="1" outer="{outer}" benefit="1" repeat="{repeat}" writes="{writes}"/>"#
+                r#"<band name="{name}" due="1" outer="{outer_limit}" benefit="1" repeat="{repeat}" writes="{writes}"/>"#
             )
         };
         format!(
             r#"<deployment name="test">
-<listen address="127.0.0.1:0" connections="{connections}" open="{open}"/>
+<listen address="127.0.0.1:0" connections="{max_connections}" open="{max_open}"/>
 <register address="127.0.0.1:1" mode="pushed"/>
-<connections connect="0.5" idle="{idle}" half-pdu="{half_pdu}" keep-alive="{keep_alive}" digests="{digests}"/>
+<connections connect="0.5" idle="{idle_timeout}" half-pdu="{half_pdu}" keep-alive="{keep_alive}" digests="{digests}"/>
 <allow shots="3" cancel="true" copies="false" longest-return="0.5"/>
-<rules answer-slack="0.05" drain-grace="{grace}" start-capacity="0.2" cold-for="5" fall-multiple="2"
+<rules answer-slack="0.05" drain-grace="{drain_grace}" start-capacity="0.2" cold-for="5" fall-multiple="2"
  overload-for="1" young-units="8" key-quiet="0"/>
 <units mean="1" most="6" metering="0"/>
 <layout initiators="1" nodes="{nodes}" zones="1" extent-blocks="2048"/>
@@ -97,16 +117,18 @@
     }
 }
 
-/// Node that holds a volume's one block.
-pub fn block_of(volume: u32, nodes: u32) -> i64 {
+/// Block of a volume; each volume has one.
+pub fn block_of_volume(volume: u32, nodes: u32) -> i64 {
     i64::from(volume) * 7 % i64::from(nodes)
 }
 
+/// A gateway process and the node register that it subscribes to.
 pub struct Gateway {
     child: Child,
-    lines: BufReader<ChildStdout>,
+    stdout: BufReader<ChildStdout>,
     pub address: SocketAddr,
     pub register: Register,
+    /// Settings, list and log.
     folder: PathBuf,
 }
 
@@ -126,39 +148,41 @@
             .unwrap()
     }
 
-    pub fn start(shape: &Shape) -> Gateway {
-        let folder = folder();
-        let settings = folder.join("deployment.xml");
-        std::fs::write(&settings, shape.text()).unwrap();
+    /// Starts a register and a gateway with these settings, and waits until the gateway listens.
+    pub fn start(settings: &TestSettings) -> Gateway {
+        let folder = temp_folder();
+        let deployment_file = folder.join("deployment.xml");
+        std::fs::write(&deployment_file, settings.to_xml()).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let register = Register::start(Mode::Pushed, listener, Writer::memory(Clock::default())).unwrap();
         let mut child = Self::spawn(&folder, &register.address.to_string());
-        let mut lines = BufReader::new(child.stdout.take().unwrap());
+        let mut stdout = BufReader::new(child.stdout.take().unwrap());
         let mut line = String::new();
-        lines.read_line(&mut line).unwrap();
+        stdout.read_line(&mut line).unwrap();
         let address = line.trim().strip_prefix("listening ").expect("the gateway listens").parse().unwrap();
-        Gateway { child, lines, address, register, folder }
+        Gateway { child, stdout, address, register, folder }
     }
 
-    /// Kills it once its list with this node is on disk, as that is written beside its work, and starts it again with
-    /// nothing but that; the register is not to be found.
-    pub fn restart_alone(&mut self, node: SocketAddr) {
+    /// Kills the gateway and starts it again with its stored list only, without a reachable register. Before the kill, waits
+    /// until the stored list contains this node, because the gateway writes it in the background.
+    pub fn restart_without_register(&mut self, node: SocketAddr) {
         let (file, began) = (self.folder.join("list"), Instant::now());
         while !std::fs::read_to_string(&file).is_ok_and(|text| text.contains(&node.to_string())) {
-            assert!(began.elapsed() < Duration::from_secs(20), "the list is not written");
+            assert!(began.elapsed() < Duration::from_secs(20), "the gateway did not write its list in time");
             std::thread::sleep(Duration::from_millis(2));
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
         let mut child = Self::spawn(&self.folder, "127.0.0.1:1");
-        self.lines = BufReader::new(child.stdout.take().unwrap());
+        self.stdout = BufReader::new(child.stdout.take().unwrap());
         let mut line = String::new();
-        self.lines.read_line(&mut line).unwrap();
+        self.stdout.read_line(&mut line).unwrap();
         self.address = line.trim().strip_prefix("listening ").unwrap().parse().unwrap();
         self.child = child;
     }
 
-    pub fn list(&self, node: SocketAddr, block: i64, condition: NodeCondition) {
+    /// Lists a node with the register.
+    pub fn list_node(&self, node: SocketAddr, block: i64, condition: NodeCondition) {
         self.register.list(&node.to_string(), "hall-0", block, condition, None, 0.0);
     }
 
@@ -166,11 +190,11 @@
         kill_process(Pid::from_raw(self.child.id() as i32).unwrap(), signal).unwrap();
     }
 
-    /// Stops it and gives its counts.
+    /// Stops the gateway and returns the counters that it prints.
     pub fn counts(mut self) -> serde_json::Value {
         drop(self.child.stdin.take());
         let mut line = String::new();
-        self.lines.read_line(&mut line).unwrap();
+        self.stdout.read_line(&mut line).unwrap();
         assert!(self.child.wait().unwrap().success());
         serde_json::from_str(&line).unwrap()
     }
@@ -184,7 +208,7 @@
     }
 }
 
-/// One queue of a client, read with a bound on the wait.
+/// One queue of a client; reads wait for at most `MAX_WAIT`.
 pub struct Queue {
     pub stream: TcpStream,
     pub host: Host,
@@ -192,17 +216,18 @@
 }
 
 impl Queue {
+    /// Connects a queue, the admin queue if `number` is 0. Returns it with the controller id.
     fn open(address: SocketAddr, number: u16, controller: u16, offer: Offer, name: &str) -> (Queue, u16) {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         let host = Host::start_with(number, QUEUE_SIZE, controller, "nqn.test:gateway", name, offer);
         let mut queue = Queue { stream, host, events: Vec::new() };
         let mut enable = Enable::new(1, false);
         loop {
             let out = std::mem::take(&mut queue.host.out);
             queue.stream.write_all(&out).unwrap();
-            assert!(queue.pull(), "closed while connecting");
+            assert!(queue.receive(), "closed while connecting");
             for event in std::mem::take(&mut queue.events) {
                 if number > 0 {
                     assert!(matches!(event, Event::Ready { .. }), "{event:?}");
@@ -216,8 +241,8 @@
         }
     }
 
-    /// Reads once; false where the gateway closed.
-    pub fn pull(&mut self) -> bool {
+    /// Reads once. Returns false if the gateway has closed the connection.
+    pub fn receive(&mut self) -> bool {
         let mut buffer = [0; 65536];
         match self.stream.read(&mut buffer) {
             Ok(0) => false,
@@ -227,37 +252,39 @@
                 self.stream.write_all(&out).unwrap();
                 true
             }
-            Err(error) => panic!("no answer: {error}"),
+            Err(error) => panic!("no data from the gateway: {error}"),
         }
     }
 
-    pub fn ask(&mut self, sqe: Sqe, data: Vec<u8>, expected: usize) -> u16 {
+    /// Sends a command and returns its id. `expected` is the length of the data that it reads, bytes.
+    pub fn submit(&mut self, sqe: Sqe, data: Vec<u8>, expected: usize) -> u16 {
         let (cid, bytes) = self.host.submit(sqe, data, expected).unwrap();
         self.stream.write_all(&bytes).unwrap();
         cid
     }
 
-    /// The next answer: command and status.
-    pub fn answer(&mut self) -> (u16, u16) {
+    /// Waits for the next completion and returns its command id and status.
+    pub fn next_completion(&mut self) -> (u16, u16) {
         loop {
-            let at = self.events.iter().position(|event| matches!(event, Event::Done { .. }));
-            if let Some(Event::Done { cid, cqe, .. }) = at.map(|at| self.events.remove(at)) {
+            let index = self.events.iter().position(|event| matches!(event, Event::Done { .. }));
+            if let Some(Event::Done { cid, cqe, .. }) = index.map(|index| self.events.remove(index)) {
                 return (cid, cqe.status);
             }
-            assert!(self.pull(), "closed before the answer");
+            assert!(self.receive(), "the gateway closed the connection before the completion");
         }
     }
 
-    /// No answer is there, and none comes within a moment.
-    pub fn is_silent(&mut self) -> bool {
+    /// Whether no event is pending and no data arrives within 0.2 s.
+    pub fn stays_silent(&mut self) -> bool {
         self.stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         let mut buffer = [0; 64];
         let read = self.stream.read(&mut buffer);
-        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         self.events.is_empty() && read.is_err()
     }
 }
 
+/// A client of the gateway with an admin queue and one I/O queue.
 pub struct Client {
     pub admin: Queue,
     pub io: Queue,
@@ -272,7 +299,7 @@
         Self::open(address, offer, "nqn.test:client:0")
     }
 
-    /// As another host.
+    /// Connects with this host name.
     pub fn connect_as(address: SocketAddr, name: &str) -> Client {
         Self::open(address, Offer::default(), name)
     }
@@ -283,75 +310,83 @@
         Client { admin, io }
     }
 
+    /// A read or write of this band over `blocks` logical blocks.
     pub fn sqe(band: u8, volume: u32, mark: u64, blocks: u32) -> Sqe {
         let opcode = if band == BUY { opcode::WRITE } else { opcode::READ };
         let marks = Marks { band, units: 1, mark, key: 1, ..Marks::default() };
         marks.put(Sqe::transfer(opcode, volume, 0, blocks))
     }
 
-    pub fn ask(&mut self, band: u8, volume: u32, mark: u64, blocks: u32) -> u16 {
+    /// Sends a read or write on the I/O queue and returns its command id.
+    pub fn submit(&mut self, band: u8, volume: u32, mark: u64, blocks: u32) -> u16 {
         let sqe = Self::sqe(band, volume, mark, blocks);
         let length = sqe.length();
         if band == BUY {
-            self.io.ask(sqe, vec![1; length], 0)
+            self.io.submit(sqe, vec![1; length], 0)
         } else {
-            self.io.ask(sqe, Vec::new(), length)
+            self.io.submit(sqe, Vec::new(), length)
         }
     }
 }
 
-/// What a scripted target does with a command.
-pub enum Do {
+/// What a scripted node does with a command.
+pub enum PeerAction {
+    /// Completes it with this status.
     Answer(u16),
-    /// Keeps quiet; the test answers through `later`, or never.
+    /// Does not answer; the test may answer through `Peer::held_answers`.
     Hold,
-    /// Closes the connection without a word.
+    /// Closes the connection.
     Close,
-    /// Writes these bytes as they are.
-    Raw(Vec<u8>),
+    /// Sends these bytes unchanged.
+    SendBytes(Vec<u8>),
 }
 
-/// A scripted target: every command's mark and shot are told, then `script` says what to do.
+/// A scripted node: reports the mark and shot of every command to the test, then does what its script returns.
 pub struct Peer {
     pub address: SocketAddr,
+    /// Mark and shot of each received command.
     pub arrived: Receiver<(u64, u8)>,
-    /// Answers what was held: mark and status.
-    pub later: Sender<(u64, u16)>,
-    /// Takes no digests, whatever is offered.
-    plain: Arc<AtomicBool>,
+    /// Answers a held command: its mark and the status.
+    pub held_answers: Sender<(u64, u16)>,
+    /// Whether it refuses digests on new connections.
+    no_digests: Arc<AtomicBool>,
 }
 
-/// From now on the peer takes no digests.
-pub fn plain_only(peer: &Peer) {
-    peer.plain.store(true, Ordering::Relaxed);
+/// Makes the peer refuse digests on new connections.
+pub fn refuse_digests(peer: &Peer) {
+    peer.no_digests.store(true, Ordering::Relaxed);
 }
 
-pub fn peer(script: impl Fn(&Sqe, &Marks) -> Do + Send + Sync + 'static) -> Peer {
+/// Starts a scripted node.
+pub fn start_peer(script: impl Fn(&Sqe, &Marks) -> PeerAction + Send + Sync + 'static) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, arrived) = channel();
-    let (later, answers) = channel::<(u64, u16)>();
+    let (reports, arrived) = channel();
+    let (held_answers, answers) = channel::<(u64, u16)>();
     let answers = std::sync::Arc::new(std::sync::Mutex::new(answers));
     let script = std::sync::Arc::new(script);
-    let plain = Arc::new(AtomicBool::new(false));
-    let taken = plain.clone();
+    let no_digests = Arc::new(AtomicBool::new(false));
+    let refuses = no_digests.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (tell, script, answers) = (tell.clone(), script.clone(), answers.clone());
-            let plain = taken.load(Ordering::Relaxed);
-            std::thread::spawn(move || serve(stream.unwrap(), &tell, &*script, &answers, plain));
+            let (reports, script, answers) = (reports.clone(), script.clone(), answers.clone());
+            let no_digests = refuses.load(Ordering::Relaxed);
+            std::thread::spawn(move || serve(stream.unwrap(), &reports, &*script, &answers, no_digests));
         }
     });
-    Peer { address, arrived, later, plain }
+    Peer { address, arrived, held_answers, no_digests }
 }
 
+/// Serves one connection of a scripted node.
 fn serve(
-    mut stream: TcpStream, tell: &Sender<(u64, u8)>, script: &(dyn Fn(&Sqe, &Marks) -> Do + Send + Sync),
-    answers: &std::sync::Mutex<Receiver<(u64, u16)>>, plain: bool,
+    mut stream: TcpStream, reports: &Sender<(u64, u8)>,
+    script: &(dyn Fn(&Sqe, &Marks) -> PeerAction + Send + Sync),
+    answers: &std::sync::Mutex<Receiver<(u64, u16)>>, no_digests: bool,
 ) {
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-    let mut machine = if plain { Controller::taking(Default::default()) } else { Controller::default() };
+    let mut controller =
+        if no_digests { Controller::taking(Default::default()) } else { Controller::default() };
     let mut buffer = [0; 65536];
     let mut held: Vec<(u64, u16)> = Vec::new();
     let mut admin = Admin::new(0.0, 1, 0);
@@ -363,23 +398,23 @@
             Err(_) => return,
         };
         let mut events = Vec::new();
-        if machine.feed(&buffer[..count], &mut events).is_err() {
+        if controller.feed(&buffer[..count], &mut events).is_err() {
             return;
         }
         for event in events {
             match event {
-                Asked::Connect { .. } => machine.accept(1),
-                Asked::Command { sqe, .. } if machine.queue() == 0 => {
-                    answer_admin(&mut machine, &mut admin, &sqe)
+                Asked::Connect { .. } => controller.accept(1),
+                Asked::Command { sqe, .. } if controller.queue() == 0 => {
+                    answer_admin(&mut controller, &mut admin, &sqe)
                 }
                 Asked::Command { sqe, .. } => {
                     let marks = Marks::of(&sqe);
-                    let _ = tell.send((marks.mark, marks.shot));
+                    let _ = reports.send((marks.mark, marks.shot));
                     match script(&sqe, &marks) {
-                        Do::Answer(status) => respond(&mut machine, &sqe, status),
-                        Do::Hold => held.push((marks.mark, sqe.cid)),
-                        Do::Close => return,
-                        Do::Raw(bytes) => {
+                        PeerAction::Answer(status) => respond(&mut controller, &sqe, status),
+                        PeerAction::Hold => held.push((marks.mark, sqe.cid)),
+                        PeerAction::Close => return,
+                        PeerAction::SendBytes(bytes) => {
                             let _ = stream.write_all(&bytes);
                         }
                     }
@@ -387,54 +422,54 @@
                 Asked::Terminated { .. } => return,
             }
         }
-        if machine.queue() != 0 && !held.is_empty() {
+        if controller.queue() != 0 && !held.is_empty() {
             while let Ok((mark, status)) = answers.lock().unwrap().try_recv() {
-                if let Some(at) = held.iter().position(|(known, _)| *known == mark) {
-                    let sqe = *machine.command(held.remove(at).1).unwrap();
-                    respond(&mut machine, &sqe, status);
+                if let Some(index) = held.iter().position(|(held_mark, _)| *held_mark == mark) {
+                    let sqe = *controller.command(held.remove(index).1).unwrap();
+                    respond(&mut controller, &sqe, status);
                 }
             }
         }
-        if stream.write_all(&std::mem::take(&mut machine.out)).is_err() {
+        if stream.write_all(&std::mem::take(&mut controller.out)).is_err() {
             return;
         }
     }
 }
 
-fn respond(machine: &mut Controller, sqe: &Sqe, status: u16) {
+fn respond(controller: &mut Controller, sqe: &Sqe, status: u16) {
     let length = if sqe.opcode == opcode::READ && status == status::SUCCESS { sqe.length() } else { 0 };
-    machine.respond(Cqe { cid: sqe.cid, status, ..Cqe::default() }, &vec![7; length]);
+    controller.respond(Cqe { cid: sqe.cid, status, ..Cqe::default() }, &vec![7; length]);
 }
 
-/// A gateway of this shape with one node listed, and a client of it.
-pub fn one(shape: &Shape, node: SocketAddr) -> (Gateway, Client) {
-    let gateway = Gateway::start(shape);
-    gateway.list(node, 0, NodeCondition::Ready);
+/// Starts a gateway with one listed node, and connects a client.
+pub fn start_with_node(settings: &TestSettings, node: SocketAddr) -> (Gateway, Client) {
+    let gateway = Gateway::start(settings);
+    gateway.list_node(node, 0, NodeCondition::Ready);
     let client = Client::connect(gateway.address);
     (gateway, client)
 }
 
-/// Asks until a read is settled: before the list has come, the gateway knows no node and declines.
-pub fn settled(client: &mut Client) {
-    until("the gateway knows its node and the node serves", || {
-        client.ask(READ, 1, 0xff00, 8);
-        client.io.answer().1 == status::SUCCESS
+/// Sends reads until one succeeds: until it has received the list, the gateway knows no node and declines.
+pub fn wait_until_served(client: &mut Client) {
+    wait_until("the gateway knows its node and the node serves", || {
+        client.submit(READ, 1, 0xff00, 8);
+        client.io.next_completion().1 == status::SUCCESS
     });
 }
 
-/// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds, for at most `MAX_WAIT`.
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited too long until {what}");
+        assert!(start.elapsed() < MAX_WAIT, "timed out waiting until {condition}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What scripted targets show: nothing in particular.
-struct Plain;
+/// What the admin queue of a scripted node reports.
+struct PeerView;
 
-impl View for Plain {
+impl View for PeerView {
     fn kind(&self) -> Kind {
         Kind::Io
     }
@@ -443,12 +478,12 @@
     }
 }
 
-/// Answers a command of the admin queue as any target does; an Abort with success, whatever became of it.
-pub fn answer_admin(machine: &mut Controller, admin: &mut Admin, sqe: &Sqe) {
-    match admin.command(0.0, sqe, &Plain) {
-        Reply::Respond(cqe, data) => machine.respond(cqe, &data),
-        Reply::Disconnect(cqe) => machine.respond(cqe, &[]),
-        Reply::Abort { cid, .. } => machine.respond(Cqe { cid, ..Cqe::default() }, &[]),
+/// Answers a command of the admin queue as a node does. An Abort always succeeds, whatever happened to its command.
+pub fn answer_admin(controller: &mut Controller, admin: &mut Admin, sqe: &Sqe) {
+    match admin.command(0.0, sqe, &PeerView) {
+        Reply::Respond(cqe, data) => controller.respond(cqe, &data),
+        Reply::Disconnect(cqe) => controller.respond(cqe, &[]),
+        Reply::Abort { cid, .. } => controller.respond(Cqe { cid, ..Cqe::default() }, &[]),
         Reply::Hold => {}
     }
 }
