--- a/crates/programs/benches/gateway.rs
+++ b/crates/programs/benches/gateway.rs
@@ -1,7 +1,8 @@
-//! One gateway against its own baseline: the same client code straight to one target that does no work, and
-//! through a gateway to the same target, in one run. Prints throughput, latency and CPU at depth 1, 8 and 32.
+//! Cost of one gateway: the same client code sends commands directly to a node without service time, and through a gateway to
+//! the same node, in one run. Prints throughput, latency and CPU time at several queue depths.
 //!
-//! `cargo bench -p quaypath-programs --bench gateway`; seconds a point as the first argument, 5 where absent.
+//! `cargo bench -p quaypath-programs --bench gateway`; the first argument is the duration of each measurement in seconds, 5 by
+//! default.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,6 +32,7 @@
 <volumes plan="only" first="1" count="32" initiators="1" nodes="1"/>
 </deployment>"#;
 
+/// A started program and the address on which it listens.
 struct Process(Child, SocketAddr);
 
 impl Process {
@@ -44,11 +46,12 @@
         Process(child, address)
     }
 
-    /// User and system time so far, seconds.
-    fn cpu(&self) -> f64 {
+    /// User and system CPU time so far, seconds.
+    fn cpu_seconds(&self) -> f64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap();
-        let rest = text.rsplit(") ").next().unwrap();
-        let ticks: Vec<f64> = rest.split(' ').skip(11).take(2).map(|word| word.parse().unwrap()).collect();
+        let fields = text.rsplit(") ").next().unwrap();
+        let ticks: Vec<f64> =
+            fields.split(' ').skip(11).take(2).map(|field| field.parse().unwrap()).collect();
         (ticks[0] + ticks[1]) / 100.0
     }
 }
@@ -60,6 +63,7 @@
     }
 }
 
+/// One queue of a client.
 struct Queue {
     stream: TcpStream,
     host: Host,
@@ -67,6 +71,7 @@
 }
 
 impl Queue {
+    /// Connects a queue, the admin queue if `number` is 0. Returns it with the controller id.
     fn open(address: SocketAddr, number: u16, controller: u16, offer: Offer) -> (Queue, u16) {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -76,7 +81,7 @@
         loop {
             let out = std::mem::take(&mut queue.host.out);
             queue.stream.write_all(&out).unwrap();
-            queue.pull();
+            queue.receive();
             for event in std::mem::take(&mut queue.events) {
                 if number > 0 {
                     assert!(matches!(event, Event::Ready { .. }) && queue.host.state() == State::Ready);
@@ -89,18 +94,21 @@
         }
     }
 
-    fn pull(&mut self) {
+    /// Reads once.
+    fn receive(&mut self) {
         let mut buffer = [0; 1 << 18];
         let count = self.stream.read(&mut buffer).unwrap();
-        assert!(count > 0, "closed");
+        assert!(count > 0, "the connection was closed");
         self.host.feed(&buffer[..count], &mut self.events).unwrap();
-        // Data that an R2T asked for.
+        // Sends the data that an R2T asked for.
         let out = std::mem::take(&mut self.host.out);
         self.stream.write_all(&out).unwrap();
     }
 }
 
-struct Point {
+/// Result of one measurement; latencies in microseconds.
+struct Measurement {
+    /// Commands per second.
     rate: f64,
     p50: f64,
     p99: f64,
@@ -111,58 +119,67 @@
 #[derive(Clone, Copy)]
 struct Load {
     writes: bool,
+    /// Length of each command's data.
     bytes: usize,
+    /// Commands in flight.
     depth: usize,
     digests: bool,
 }
 
-/// Keeps `depth` commands out for a time.
-fn measure(address: SocketAddr, load: Load, length: Duration) -> Point {
+/// Keeps `depth` commands in flight for this time, after a warm-up.
+fn measure(address: SocketAddr, load: Load, duration: Duration) -> Measurement {
     let format = Format { header_digest: load.digests, data_digest: load.digests, align: 0 };
     let offer = Offer { format, insist: true, keep_alive_ms: 0 };
     let (_admin, controller) = Queue::open(address, 0, ANY_CONTROLLER, offer);
     let (mut queue, _) = Queue::open(address, 1, controller, offer);
     let mut latency = Histogram::<u64>::new(3).unwrap();
     let mut sent: Vec<Instant> = vec![Instant::now(); usize::from(QUEUE_SIZE)];
-    let (mut nth, mut done, mut declined) = (0u64, 0u64, 0u64);
+    let (mut submitted, mut completed, mut declined) = (0u64, 0u64, 0u64);
     let (start, mut from) = (Instant::now(), Instant::now());
-    let warm = Duration::from_millis(300);
+    let warm_up = Duration::from_millis(300);
     let mut counting = false;
-    while start.elapsed() < warm + length {
-        if !counting && start.elapsed() > warm {
-            (counting, from, done, declined) = (true, Instant::now(), 0, 0);
+    while start.elapsed() < warm_up + duration {
+        if !counting && start.elapsed() > warm_up {
+            (counting, from, completed, declined) = (true, Instant::now(), 0, 0);
             latency.reset();
         }
         let mut bytes = Vec::new();
         while queue.host.live() < load.depth {
-            nth += 1;
+            submitted += 1;
             let band = if load.writes { 2 } else { 1 };
-            let marks =
-                Marks { band, units: 1, key: nth as u32 % 64 + 1, mark: nth << 8, ..Marks::default() };
+            let marks = Marks {
+                band,
+                units: 1,
+                key: submitted as u32 % 64 + 1,
+                mark: submitted << 8,
+                ..Marks::default()
+            };
             let opcode = if load.writes { opcode::WRITE } else { opcode::READ };
-            let sqe = marks.put(Sqe::transfer(opcode, 1 + (nth % 32) as u32, 0, (load.bytes / 512) as u32));
+            let sqe =
+                marks.put(Sqe::transfer(opcode, 1 + (submitted % 32) as u32, 0, (load.bytes / 512) as u32));
             let (data, expected) =
                 if load.writes { (vec![9; load.bytes], 0) } else { (Vec::new(), load.bytes) };
-            let (cid, one) = queue.host.submit(sqe, data, expected).unwrap();
+            let (cid, command) = queue.host.submit(sqe, data, expected).unwrap();
             sent[usize::from(cid)] = Instant::now();
-            bytes.extend(one);
+            bytes.extend(command);
         }
         queue.stream.write_all(&bytes).unwrap();
-        queue.pull();
+        queue.receive();
         for event in queue.events.drain(..) {
             if let Event::Done { cid, cqe, .. } = event {
-                done += 1;
+                completed += 1;
                 declined += u64::from(cqe.status != 0);
                 latency.record(sent[usize::from(cid)].elapsed().as_nanos() as u64).unwrap();
             }
         }
     }
-    let at = |part| latency.value_at_quantile(part) as f64 / 1e3;
-    let rate = done as f64 / from.elapsed().as_secs_f64();
-    Point { rate, p50: at(0.5), p99: at(0.99), p999: at(0.999), declined }
+    let quantile_us = |quantile| latency.value_at_quantile(quantile) as f64 / 1e3;
+    let rate = completed as f64 / from.elapsed().as_secs_f64();
+    Measurement { rate, p50: quantile_us(0.5), p99: quantile_us(0.99), p999: quantile_us(0.999), declined }
 }
 
-fn programs(folder: &Path, nodes: u32) -> (Vec<Process>, Process, Process) {
+/// Starts the nodes, the register and the gateway.
+fn start_programs(folder: &Path, nodes: u32) -> (Vec<Process>, Process, Process) {
     let settings = folder.join(format!("measure-{nodes}.xml"));
     std::fs::write(&settings, DEPLOYMENT.replace("NODES", &nodes.to_string())).unwrap();
     let targets: Vec<Process> = (0..nodes)
@@ -191,13 +208,13 @@
 }
 
 fn main() {
-    let seconds = std::env::args().filter_map(|word| word.parse::<f64>().ok()).next().unwrap_or(5.0);
-    let length = Duration::from_secs_f64(seconds);
+    let seconds = std::env::args().filter_map(|argument| argument.parse::<f64>().ok()).next().unwrap_or(5.0);
+    let duration = Duration::from_secs_f64(seconds);
     let folder = std::env::temp_dir().join(format!("quaypath-measure-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     println!("nodes kind   bytes digests depth |  direct/s    p50     p99   p99.9 | gateway/s    p50     p99   p99.9 | added p50 | CPU us | part of direct | declined");
     for nodes in [1, 4] {
-        let (targets, _register, mut gateway) = programs(&folder, nodes);
+        let (targets, _register, mut gateway) = start_programs(&folder, nodes);
         std::thread::sleep(Duration::from_millis(300));
         let mut loads = Vec::new();
         for (bytes, writes, digests) in [
@@ -210,7 +227,7 @@
             (4096, false, true),
             (65536, false, true),
         ] {
-            // One node shows the cost of the path; several show it beyond the core's bound at one node.
+            // One node shows the cost of the path; several nodes show it beyond the scheduler's bound at one node.
             if nodes > 1 && (digests || bytes == 512) {
                 continue;
             }
@@ -219,30 +236,30 @@
             }
         }
         for load in loads {
-            let direct = measure(targets[0].1, load, length);
-            let before = gateway.cpu();
-            let through = measure(gateway.1, load, length);
-            // The warm-up's share of both is the same.
-            let spent = (gateway.cpu() - before) / (length.as_secs_f64() + 0.3);
+            let direct = measure(targets[0].1, load, duration);
+            let before = gateway.cpu_seconds();
+            let through = measure(gateway.1, load, duration);
+            // The CPU time includes the warm-up of 0.3 s, so the duration does too.
+            let cpu_per_second = (gateway.cpu_seconds() - before) / (duration.as_secs_f64() + 0.3);
             println!(
                 "{nodes:5} {:5} {:6} {:7} {:5} | {:9.0} {:6.0} {:7.0} {:7.0} | {:9.0} {:6.0} {:7.0} {:7.0} | {:7.0}us | {:6.1} | {:5.2} | {}",
                 if load.writes { "write" } else { "read" }, load.bytes, load.digests, load.depth,
                 direct.rate, direct.p50, direct.p99, direct.p999,
                 through.rate, through.p50, through.p99, through.p999,
-                through.p50 - direct.p50, spent / through.rate * 1e6, through.rate / direct.rate, through.declined
+                through.p50 - direct.p50, cpu_per_second / through.rate * 1e6, through.rate / direct.rate, through.declined
             );
         }
         drop(gateway.0.stdin.take());
         let mut text = String::new();
         gateway.0.stdout.take().unwrap().read_to_string(&mut text).unwrap();
         let counts: serde_json::Value = serde_json::from_str(text.trim()).unwrap();
-        let core = counts["core_seconds"].as_f64().unwrap() / counts["taken"].as_f64().unwrap() * 1e6;
-        let calls = |name: &str| counts[name].as_f64().unwrap() / counts["taken"].as_f64().unwrap();
+        let scheduler_us = counts["core_seconds"].as_f64().unwrap() / counts["taken"].as_f64().unwrap() * 1e6;
+        let per_transaction = |name: &str| counts[name].as_f64().unwrap() / counts["taken"].as_f64().unwrap();
         println!(
-            "core: {core:.1} us of each transaction, over {} taken; {:.2} reads and {:.2} writes of sockets each",
+            "core: {scheduler_us:.1} us of each transaction, over {} taken; {:.2} reads and {:.2} writes of sockets each",
             counts["taken"],
-            calls("reads"),
-            calls("writes")
+            per_transaction("reads"),
+            per_transaction("writes")
         );
     }
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/programs/tests/load.rs
+++ b/crates/programs/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator on sockets: the planted stall, a gateway that goes, Ctrl-C, parts that die.
+//! The load generator on real sockets: a stalled node, gateways that are killed, Ctrl-C, and generators that die.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,8 +14,8 @@
 use quaypath_record::{Clock, Event};
 use rustix::process::{kill_process, Pid, Signal};
 
-/// Bounds every wait for a condition; far above what any takes.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// Upper bound of every wait for a condition, far above the usual time.
+const MAX_WAIT: Duration = Duration::from_secs(40);
 
 const DEPLOYMENT: &str = r#"<deployment name="small">
   <listen address="127.0.0.1:0" connections="64" open="2048"/>
@@ -34,7 +34,7 @@
   <volumes plan="gold" first="101" count="3" initiators="2" nodes="1"/>
 </deployment>"#;
 
-/// A folder of its own with a deployment and a load; removed in the end.
+/// A temporary folder with a deployment and a load; removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -103,8 +103,9 @@
     }
 }
 
-/// A load against a target that stands still for `stop` seconds from `from` on; the measured stop, and the result.
-fn stalled(arrivals: &str, lasts: f64, from: f64, stop: f64) -> (f64, Outcome) {
+/// Runs a load against a node that is stopped for `stop` seconds, beginning `from` seconds after the start. Returns the measured
+/// duration of the stop, in seconds, and the result.
+fn run_with_stall(arrivals: &str, lasts: f64, from: f64, stop: f64) -> (f64, Outcome) {
     let folder = Folder::new(arrivals, lasts);
     let target = Target::start(&folder);
     let path = folder.path("load.xml");
@@ -127,32 +128,38 @@
     })
 }
 
-/// By docs/design/load.md: at 400 a second and next to no service time, a stop of S seconds in D gives quantile q a
-/// latency of S - (1 - q) D where that is above 0. Tolerance 0.15 s, for what the machine adds.
+/// Compares the measured latencies with those computed in docs/design/load.md: at 400 requests per second and almost no service
+/// time, a stop of S seconds in a run of D seconds gives quantile q a latency of S - (1 - q) D where that is above 0. The
+/// tolerance of 0.15 s covers delays of the machine.
 #[test]
-fn a_planted_stall_shows_as_computed() {
-    let (stop, outcome) = stalled("<open process='constant' rate='400'/>", 4.0, 1.0, 1.2);
+fn a_stall_shows_as_computed() {
+    let (stop, outcome) = run_with_stall("<open process='constant' rate='400'/>", 4.0, 1.0, 1.2);
     let cell = outcome.cell(Key::new(Kind::All, 0)).unwrap();
     assert_eq!(cell.counts.settled(), cell.counts.offered, "{:?}", cell.counts);
     assert!((1599..=1600).contains(&cell.counts.offered), "{:?}", cell.counts);
     for q in [0.5, 0.8, 0.9, 0.95, 0.99, 0.999, 0.9999, 1.0] {
-        let found = cell.meant.value_at_quantile(q) as f64 / 1e6;
+        let measured = cell.meant.value_at_quantile(q) as f64 / 1e6;
         let expected = expected(q, 400.0, 0.0, stop, 4.0);
-        assert!((found - expected).abs() < 0.15, "q {q}: {found}, {expected} by hand");
+        assert!((measured - expected).abs() < 0.15, "q {q}: measured {measured}, expected {expected}");
     }
     assert!((cell.meant.max() as f64 / 1e6 - stop).abs() < 0.15);
-    // What found no queue entry waited off the wire: counted from its sending it would look quick.
-    let over = |histogram: &quaypath_load::account::Latencies| {
+    // Requests without a free queue entry waited before they were sent; measured from the sending they would seem fast.
+    let slow_count = |histogram: &quaypath_load::account::Latencies| {
         let slow = histogram.iter_recorded().filter(|step| step.value_iterated_to() > 100_000);
         slow.map(|step| step.count_at_value()).sum::<u64>()
     };
-    assert!(over(&cell.wire) < over(&cell.meant), "{} and {}", over(&cell.wire), over(&cell.meant));
+    assert!(
+        slow_count(&cell.wire) < slow_count(&cell.meant),
+        "{} and {}",
+        slow_count(&cell.wire),
+        slow_count(&cell.meant)
+    );
 }
 
-/// The same stop and a closed loop of about as many a second: its 99th percentile knows nothing of it.
+/// With the same stop, a closed loop at about the same rate does not show it in its 99th percentile.
 #[test]
-fn a_closed_loop_hides_it() {
-    let (stop, outcome) = stalled("<closed clients='4' think='0.01'/>", 4.0, 1.0, 1.2);
+fn a_closed_loop_hides_a_stall() {
+    let (stop, outcome) = run_with_stall("<closed clients='4' think='0.01'/>", 4.0, 1.0, 1.2);
     let cell = outcome.cell(Key::new(Kind::All, 0)).unwrap();
     assert!(outcome.meta.arrivals.starts_with("CLOSED"), "{}", outcome.meta.arrivals);
     assert!(cell.meant.max() as f64 / 1e6 > stop - 0.15);
@@ -163,10 +170,11 @@
             .filter(|step| step.value_iterated_to() < 500_000)
             .map(|step| step.count_at_value() as f64)
             .sum::<f64>();
-    // Only what the four clients had out can have seen it; the open loop's 480 did.
+    // Only the requests that the four clients had in flight can have met the stop; in the open loop 480 did.
     assert!(slow <= 4.0 && cell.counts.offered > 200, "{slow} of {}", cell.counts.offered);
 }
 
+/// A command of the load generator, run in this folder.
 fn load(arguments: &[&str], folder: &Folder) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_quaypath-load"));
     command.args(arguments).current_dir(&folder.0).stdin(Stdio::null());
@@ -174,23 +182,24 @@
     command
 }
 
+/// Standard output and standard error.
 fn text(output: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+fn wait_for<T>(description: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
-        if let Some(found) = found() {
-            return found;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(Instant::now() < until, "waited for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {description}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Commands that the target has read from each generator.
-fn arrived(folder: &Folder, gateway: u32) -> usize {
+/// Number of commands that the node has received from this generator.
+fn received_commands(folder: &Folder, gateway: u32) -> usize {
     let events = quaypath_record::read(&[folder.path("target.jsonl")]).unwrap_or_default();
     events
         .iter()
@@ -202,14 +211,14 @@
     kill_process(Pid::from_raw(process.id() as i32).unwrap(), Signal::INT).unwrap();
 }
 
-/// Ctrl-C ends the load and keeps what was measured.
+/// Ctrl-C ends the load, and the results so far are kept.
 #[test]
 fn ctrl_c_keeps_what_was_measured() {
     let folder = Folder::new("<open process='poisson' rate='200'/>", 600.0);
     let _target = Target::start(&folder);
     let arguments = ["run", "load.xml", "--fleet", "fleet", "--report", "out", "--record", "own.jsonl"];
     let process = load(&arguments, &folder).spawn().unwrap();
-    wait_for("the first commands", || (arrived(&folder, 0) > 50).then_some(()));
+    wait_for("the first commands", || (received_commands(&folder, 0) > 50).then_some(()));
     interrupt(&process);
     let output = process.wait_with_output().unwrap();
     assert!(output.status.success(), "{}", text(&output));
@@ -220,7 +229,7 @@
     for chart in ["latency", "distribution", "throughput", "shares"] {
         assert!(folder.path(&format!("out/{chart}.svg")).exists(), "{chart}");
     }
-    // The record of it is a load in its turn.
+    // The record of this run can be run again as a load.
     let recorded = "<load name='again' deployment='deployment.xml' seed='1' lasts='9' interval='1'>\
                     <recorded file='own.jsonl' speed='2'/><bounds open='100' behind='1' lag='1'/></load>";
     std::fs::write(folder.path("again.xml"), recorded).unwrap();
@@ -230,10 +239,10 @@
     assert!(output.status.success() && text(&output).contains("rows of the record"), "{}", text(&output));
 }
 
-/// Gateways that are killed midway refuse connections until they are back: what was out is cut, what comes is held
-/// until its callers give up, nothing is lost, and the seven rules hold over it all.
+/// Gateways that are killed midway refuse connections until they restart: requests in flight are cut off, new ones wait until
+/// their clients give up, every request is accounted for, and the seven rules hold.
 #[test]
-fn a_gateway_refuses_connections_midway() {
+fn gateways_refuse_connections_midway() {
     let folder = Folder::new("<open process='poisson' rate='120'/>", 7.0);
     let day = "<day name='small' deployment='deployment.xml' seed='3' lasts='8' transit='0.1'>\
                <fleet gateways='2' nodes='1' cores='2' unit-time='0.002' run-part='0.5' put-off='0.3' flush-every='2' \
@@ -251,8 +260,8 @@
     assert!(counts.unsent > 20 && counts.settled() > 100 && counts.missed == 0, "{counts:?}");
 }
 
-/// Starts a gathering of two; gives its process and address.
-fn gathering(folder: &Folder) -> (Child, String, BufReader<std::process::ChildStderr>) {
+/// Starts a generator that collects the results of two parts. Returns its process, its address, and its error output.
+fn start_gathering(folder: &Folder) -> (Child, String, BufReader<std::process::ChildStderr>) {
     let arguments =
         ["run", "load.xml", "--fleet", "fleet", "--report", "out", "--parts", "2", "--gather", "127.0.0.1:0"];
     let mut process = load(&arguments, folder).spawn().unwrap();
@@ -263,38 +272,40 @@
     (process, address, lines)
 }
 
-/// One generator of two dies midway: its share is told as missing, and the result is the other's.
+/// One of two generators dies midway: its share is reported as missing, and the result holds that of the other.
 #[test]
 fn a_part_that_dies_is_missing() {
     let folder = Folder::new("<open process='poisson' rate='300'/>", 5.0);
     let _target = Target::start(&folder);
-    let (process, address, _lines) = gathering(&folder);
-    // A stranger's bytes and a claim of too much cost a connection each, not the load.
+    let (process, address, _lines) = start_gathering(&folder);
+    // Bytes of another protocol and an excessive length each close only their own connection, not the load.
     let mut stranger = TcpStream::connect(&address).unwrap();
     stranger.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let mut greedy = TcpStream::connect(&address).unwrap();
     greedy.write_all(&[0xff, 0xff, 0xff, 0xff, 1]).unwrap();
     let join = || load(&["join", "load.xml", &address], &folder).spawn().unwrap();
-    let (mut one, mut other) = (join(), join());
-    wait_for("both at work", || (arrived(&folder, 0) > 20 && arrived(&folder, 1) > 20).then_some(()));
-    one.kill().unwrap();
-    one.wait().unwrap();
+    let (mut killed, mut remaining) = (join(), join());
+    wait_for("commands of both generators", || {
+        (received_commands(&folder, 0) > 20 && received_commands(&folder, 1) > 20).then_some(())
+    });
+    killed.kill().unwrap();
+    killed.wait().unwrap();
     let output = process.wait_with_output().unwrap();
-    assert!(other.wait().unwrap().success());
+    assert!(remaining.wait().unwrap().success());
     assert_eq!(output.status.code(), Some(1), "{}", text(&output));
     assert!(text(&output).contains("MISSING: generator"), "{}", text(&output));
     let outcome = Outcome::read(&folder.path("out/result.parquet")).unwrap();
     let missing = &outcome.meta.missing;
     assert_eq!((outcome.meta.parts, missing.len()), (2, 1));
     let offered = outcome.sum().unwrap().counts.offered;
-    // What came and what is missing make up the whole.
+    // The offered and the missing requests add up to the whole load.
     let whole = load(&["show", "load.xml"], &folder).output().unwrap();
     let whole: u64 =
         text(&whole).lines().find_map(|line| line.split(" arrivals").next()?.parse().ok()).unwrap();
     assert_eq!(offered + missing[0].offered, whole);
 }
 
-/// Two generators bring what one would, and their results are one.
+/// Two generators together offer the same load as one, and their results are merged.
 #[test]
 fn two_parts_make_the_whole() {
     let folder = Folder::new("<open process='poisson' rate='300'/>", 3.0);
@@ -318,31 +329,35 @@
     assert!(output.status.success() && text(&output).contains("too few samples"), "{}", text(&output));
 }
 
-/// Bad input: one message that names place and rule, exit 2.
+/// Invalid input gives one message that names the place and the rule, and exit code 2.
 #[test]
 fn bad_input_is_refused() {
-    let refused = |folder: &Folder, arguments: &[&str], said: &str| {
+    let refused = |folder: &Folder, arguments: &[&str], message: &str| {
         let output = load(arguments, folder).output().unwrap();
         let text = text(&output);
         assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.contains(said) && text.lines().count() == 1, "{said}: {text}");
+        assert!(text.contains(message) && text.lines().count() == 1, "{message}: {text}");
     };
-    let fast = Folder::new("<open process='poisson' rate='5000000'/>", 5.0);
-    refused(&fast, &["show", "load.xml"], "open, rate: found 5000000 a second at the peak; 1000000 at most");
-    let heavy = Folder::new("<open process='heavy-tail' alpha='1' rate='5'/>", 5.0);
-    refused(&heavy, &["show", "load.xml"], "open, alpha: found 1; above 1");
-    let spoilt = Folder::new("<open process='poisson' rate='5'/>", 5.0);
-    std::fs::write(spoilt.path("result"), b"nonsense").unwrap();
-    refused(&spoilt, &["report", "result"], "result: not a Parquet file");
-    refused(&spoilt, &["run", "load.xml", "--fleet", "result"], "no line of 'gateway NUMBER ADDRESS'");
-    let deep = format!("<load>{}{}</load>", "<sum>".repeat(100_000), "</sum>".repeat(100_000));
-    std::fs::write(spoilt.path("deep.xml"), deep).unwrap();
-    refused(&spoilt, &["show", "deep.xml"], "elements more than 32 deep");
+    let rate_too_high = Folder::new("<open process='poisson' rate='5000000'/>", 5.0);
+    refused(
+        &rate_too_high,
+        &["show", "load.xml"],
+        "open, rate: found 5000000 a second at the peak; 1000000 at most",
+    );
+    let alpha_too_low = Folder::new("<open process='heavy-tail' alpha='1' rate='5'/>", 5.0);
+    refused(&alpha_too_low, &["show", "load.xml"], "open, alpha: found 1; above 1");
+    let invalid_files = Folder::new("<open process='poisson' rate='5'/>", 5.0);
+    std::fs::write(invalid_files.path("result"), b"nonsense").unwrap();
+    refused(&invalid_files, &["report", "result"], "result: not a Parquet file");
+    refused(&invalid_files, &["run", "load.xml", "--fleet", "result"], "no line of 'gateway NUMBER ADDRESS'");
+    let too_deep = format!("<load>{}{}</load>", "<sum>".repeat(100_000), "</sum>".repeat(100_000));
+    std::fs::write(invalid_files.path("deep.xml"), too_deep).unwrap();
+    refused(&invalid_files, &["show", "deep.xml"], "elements more than 32 deep");
 }
 
-/// A reader that closes the output early, as `head` does, costs the words only.
+/// A reader that closes the output early, as `head` does, does not make the program fail.
 #[test]
-fn nobody_reads_the_tables() {
+fn a_closed_output_is_no_failure() {
     let folder = Folder::new("<open process='poisson' rate='50'/>", 1.0);
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
@@ -351,7 +366,7 @@
     assert!(output.status.success() && !text(&output).contains("panicked"), "{}", text(&output));
 }
 
-/// The search on sockets: targets without work hold any rate it may try.
+/// The search for the knee on real sockets ends: nodes without service time sustain any rate that it may try.
 #[test]
 fn a_search_ends() {
     let folder = Folder::new("<open process='poisson' rate='100'/>", 2.0);
