--- a/crates/programs/tests/day/mod.rs
+++ b/crates/programs/tests/day/mod.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-/// Traffic shares of the sample deployment `rail.xml`.
+/// Traffic shares for the sample deployments `rail*.xml`.
 pub const RAIL_TRAFFIC: &str = r#"<share band="look-up" part="0.6"/><share band="purchase" part="0.3"/><share band="export" part="0.1"/>"#;
 
 /// Path of a sample deployment.
--- a/crates/programs/tests/hard_cases.rs
+++ b/crates/programs/tests/hard_cases.rs
@@ -136,9 +136,9 @@
     assert!(half > 0);
     client.io.stream.write_all(&client.io.host.out[..half]).unwrap();
     drop(client);
-    let mut other = Client::connect(gateway.address);
-    other.submit(READ, 1, 0x200, 8);
-    assert_eq!(other.io.next_completion().1, status::SUCCESS);
+    let mut second_client = Client::connect(gateway.address);
+    second_client.submit(READ, 1, 0x200, 8);
+    assert_eq!(second_client.io.next_completion().1, status::SUCCESS);
     let seen = arrivals(&target);
     assert!(seen.iter().all(|(mark, _)| *mark != 0x100), "{seen:?}");
     let counts = gateway.counts();
--- a/crates/programs/tests/helper/mod.rs
+++ b/crates/programs/tests/helper/mod.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Block of a volume; each volume has one.
+/// Number of the one block of a volume, and so of the node that holds it.
 pub fn block_of_volume(volume: u32, nodes: u32) -> i64 {
     i64::from(volume) * 7 % i64::from(nodes)
 }
--- a/crates/programs/tests/path.rs
+++ b/crates/programs/tests/path.rs
@@ -124,8 +124,9 @@
         start_with_node(&TestSettings { digests: "both", ..TestSettings::default() }, address);
     wait_until_served(&mut client);
     let format = Format { header_digest: true, data_digest: true, align: 7 };
-    let mut other = Client::connect_with(gateway.address, Offer { format, insist: true, keep_alive_ms: 0 });
-    wait_until_served(&mut other);
+    let mut second_client =
+        Client::connect_with(gateway.address, Offer { format, insist: true, keep_alive_ms: 0 });
+    wait_until_served(&mut second_client);
 }
 
 /// The settings require digests and the node refuses them: the node is not used, and its transactions are declined.
@@ -228,8 +229,8 @@
     drop(client);
     let target = start_peer(|_, _| PeerAction::Answer(0));
     gateway.list_node(target.address, 0, Ready);
-    let mut other = Client::connect(gateway.address);
-    wait_until_served(&mut other);
+    let mut second_client = Client::connect(gateway.address);
+    wait_until_served(&mut second_client);
     assert!(arrivals(&target).is_empty());
     let counts = gateway.counts();
     assert_eq!((&counts["lapsed"], &counts["scrapped"]), (&1.into(), &0.into()));
@@ -244,10 +245,10 @@
     assert_eq!(target.arrived.recv_timeout(MAX_WAIT).unwrap(), (0x100, 0));
     drop(client);
     // The disconnect happened before this client connected, so the gateway knows of it when it serves this client.
-    let mut other = Client::connect(gateway.address);
-    wait_until_served(&mut other);
+    let mut second_client = Client::connect(gateway.address);
+    wait_until_served(&mut second_client);
     target.held_answers.send((0x100, 0)).unwrap();
-    wait_until_served(&mut other);
+    wait_until_served(&mut second_client);
     assert!(arrivals(&target).is_empty());
     assert_eq!(gateway.counts()["lapsed"], 1);
 }
@@ -257,12 +258,12 @@
     let target = start_peer(|_, _| PeerAction::Answer(0));
     let (gateway, mut client) = start_with_node(&TestSettings::default(), target.address);
     wait_until_served(&mut client);
-    let mut other = Client::connect(gateway.address);
+    let mut second_client = Client::connect(gateway.address);
     client.submit(READ, 1, 0x100, 2048);
     let mut part = [0; 5000];
     client.io.stream.read_exact(&mut part).unwrap();
     drop(client);
-    wait_until_served(&mut other);
+    wait_until_served(&mut second_client);
     let counts = gateway.counts();
     assert_eq!(counts["open"], 0, "{counts}");
 }
--- a/crates/programs/tests/soak.rs
+++ b/crates/programs/tests/soak.rs
@@ -29,7 +29,7 @@
 use scenario::{Limit, Scenario, FAULT_KINDS};
 use test_case::test_case;
 
-/// Number of seeds from which on each kind of fault must have occurred in at least one run.
+/// Number of seeds from which on each of `FAULT_KINDS` must have occurred in at least one run.
 const FULL_COVERAGE_SEEDS: u64 = 50;
 
 /// Serializes the runs: a concurrent run would add load that the seed does not determine.
--- a/crates/programs/tests/soak/checker.rs
+++ b/crates/programs/tests/soak/checker.rs
@@ -112,18 +112,18 @@
 /// Groups the events by request id.
 fn requests(events: &[TimedEvent]) -> BTreeMap<&str, Request> {
     let mut requests = BTreeMap::<&str, Request>::new();
-    for (at, event) in events {
+    for (time, event) in events {
         match event {
             Event::RequestWritten { id, process, class, budget, .. } => {
-                requests.entry(id).or_default().written = Some((*at, *process, *class, *budget));
+                requests.entry(id).or_default().written = Some((*time, *process, *class, *budget));
             }
             Event::AnswerReceived { id, .. } | Event::ClosedUnanswered { id } | Event::TimedOut { id } => {
-                requests.entry(id).or_default().end = Some((*at, event.clone()));
+                requests.entry(id).or_default().end = Some((*time, event.clone()));
             }
-            Event::ClientDisconnected { id } => requests.entry(id).or_default().disconnected = Some(*at),
-            Event::AttemptBegan { id, node } => requests.entry(id).or_default().began.push((*at, *node)),
+            Event::ClientDisconnected { id } => requests.entry(id).or_default().disconnected = Some(*time),
+            Event::AttemptBegan { id, node } => requests.entry(id).or_default().began.push((*time, *node)),
             Event::AttemptArrived { id, timeout, open_before, .. } => {
-                requests.entry(id).or_default().arrived.push((*at, *timeout, *open_before));
+                requests.entry(id).or_default().arrived.push((*time, *timeout, *open_before));
             }
             Event::AttemptRefused { id } => requests.entry(id).or_default().refused += 1,
             Event::AttemptServed { id } => requests.entry(id).or_default().served += 1,
@@ -139,9 +139,9 @@
 impl ProcessEvents<'_> {
     /// How long the process was paused between these times, seconds.
     fn paused(&self, process: usize, from: f64, to: f64) -> f64 {
-        let spans = self.0.iter().filter_map(|(at, event)| match event {
+        let spans = self.0.iter().filter_map(|(time, event)| match event {
             Event::Paused { process: event_process, duration } if *event_process == process => {
-                Some((*at, at + duration))
+                Some((*time, time + duration))
             }
             _ => None,
         });
@@ -151,14 +151,14 @@
     /// Whether the process was killed without a preceding SIGTERM between these times.
     fn crashed(&self, process: usize, from: f64, to: f64) -> bool {
         let mut terminated = false;
-        for (at, event) in self.0 {
+        for (time, event) in self.0 {
             match event {
                 Event::Started { process: event_process } if *event_process == process => terminated = false,
                 Event::Terminated { process: event_process } if *event_process == process => {
                     terminated = true
                 }
                 Event::Killed { process: event_process }
-                    if *event_process == process && !terminated && (from..=to).contains(at) =>
+                    if *event_process == process && !terminated && (from..=to).contains(time) =>
                 {
                     return true;
                 }
@@ -170,11 +170,11 @@
 
     /// When the process next ended at or after this time.
     fn next_end(&self, process: usize, from: f64) -> Option<f64> {
-        let end = self.0.iter().find(|(at, event)| {
+        let end = self.0.iter().find(|(time, event)| {
             let ends = matches!(event, Event::Exited { process: event_process, .. } | Event::Killed { process: event_process } if *event_process == process);
-            ends && *at >= from
+            ends && *time >= from
         });
-        end.map(|(at, _)| *at)
+        end.map(|(time, _)| *time)
     }
 }
 
@@ -209,36 +209,36 @@
     }
     let breach_at =
         |time: f64, description: String| Some(breach(Guarantee::FinalAnswer, id, time, description));
-    let Some((at, end)) = &request.end else {
+    let Some((time, end)) = &request.end else {
         return breach_at(written, "the record does not contain its end".into());
     };
-    if processes.crashed(process, written, *at) {
+    if processes.crashed(process, written, *time) {
         return None;
     }
-    let paused = processes.paused(process, written, *at);
-    let elapsed = at - written;
+    let paused = processes.paused(process, written, *time);
+    let elapsed = time - written;
     match end {
         Event::AnswerReceived { status, body, .. } => {
             if *status == 200 && (body != id || request.served == 0) {
                 let description = format!("written at {written:.3}, got {body:?}");
-                return Some(breach(Guarantee::OwnAnswer, id, *at, description));
+                return Some(breach(Guarantee::OwnAnswer, id, *time, description));
             }
             let max_elapsed = budget + MAX_LATENESS_S + TIME_SLACK_S + paused;
             (elapsed > max_elapsed).then(|| {
-                breach_at(*at, format!("{status} after {elapsed:.3} s, at most {max_elapsed:.3} s allowed"))
+                breach_at(*time, format!("{status} after {elapsed:.3} s, at most {max_elapsed:.3} s allowed"))
             })?
         }
         Event::ClosedUnanswered { .. } if !request.began.is_empty() => {
-            breach_at(*at, format!("forwarded to a node and never answered, written at {written:.3}"))
+            breach_at(*time, format!("forwarded to a node and never answered, written at {written:.3}"))
         }
         Event::ClosedUnanswered { .. } => {
             // A request written just before the close or the end of the process was not read, and its client may send it again.
-            let closed_at = processes.next_end(process, written).map_or(*at, |end| end.min(*at));
+            let closed_at = processes.next_end(process, written).map_or(*time, |end| end.min(*time));
             let crossed = closed_at - written <= TIME_SLACK_S + paused;
             (!crossed)
-                .then(|| breach_at(*at, format!("closed without an answer, written at {written:.3}")))?
+                .then(|| breach_at(*time, format!("closed without an answer, written at {written:.3}")))?
         }
-        _ => breach_at(*at, format!("no answer and no close, written at {written:.3}")),
+        _ => breach_at(*time, format!("no answer and no close, written at {written:.3}")),
     }
 }
 
@@ -246,7 +246,7 @@
 fn once_only(id: &str, request: &Request) -> Option<Breach> {
     let (_, _, class, _) = request.written?;
     let may_have_run = request.arrived.len().saturating_sub(request.refused);
-    let last_arrival = request.arrived.last().map_or(0.0, |(at, ..)| *at);
+    let last_arrival = request.arrived.last().map_or(0.0, |(time, ..)| *time);
     if class != Class::Buy {
         return None;
     }
@@ -259,9 +259,12 @@
         ));
     }
     match &request.end {
-        Some((at, Event::AnswerReceived { status: 503, .. })) if may_have_run > 0 => {
-            Some(breach(Guarantee::OnceOnly, id, *at, "refused as safe to retry, but it may have run".into()))
-        }
+        Some((time, Event::AnswerReceived { status: 503, .. })) if may_have_run > 0 => Some(breach(
+            Guarantee::OnceOnly,
+            id,
+            *time,
+            "refused as safe to retry, but it may have run".into(),
+        )),
         _ => None,
     }
 }
@@ -274,27 +277,29 @@
         let description = format!("{} attempts", request.arrived.len());
         breaches.push(breach(Guarantee::RetryBudget, id, request.arrived[MAX_ATTEMPTS].0, description));
     }
-    for (at, timeout, open_before) in &request.arrived {
+    for (time, timeout, open_before) in &request.arrived {
         if *open_before > 0 {
             breaches.push(breach(
                 Guarantee::OneAttemptAtATime,
                 id,
-                *at,
+                *time,
                 format!("{open_before} earlier attempts are still open"),
             ));
         }
-        let paused = processes.paused(process, written, *at);
-        let remaining = written + budget - at;
+        let paused = processes.paused(process, written, *time);
+        let remaining = written + budget - time;
         if *timeout > remaining.max(0.0) + TIMEOUT_EXCESS_S + paused {
             let description = format!("carries a timeout of {timeout:.3} s with {remaining:.3} s remaining");
-            breaches.push(breach(Guarantee::AttemptTimeout, id, *at, description));
+            breaches.push(breach(Guarantee::AttemptTimeout, id, *time, description));
         }
         let Some(disconnected_at) = request.disconnected else { continue };
-        if *at > disconnected_at + MAX_AFTER_DISCONNECT_S + processes.paused(process, disconnected_at, *at) {
+        if *time
+            > disconnected_at + MAX_AFTER_DISCONNECT_S + processes.paused(process, disconnected_at, *time)
+        {
             breaches.push(breach(
                 Guarantee::NoAttemptAfterDisconnect,
                 id,
-                *at,
+                *time,
                 format!("its client disconnected at {disconnected_at:.3}"),
             ));
         }
@@ -306,22 +311,22 @@
 /// discovery has written it to the process.
 fn drains(bounds: &Bounds, events: &[TimedEvent]) -> Vec<Breach> {
     let mut drain_reports = BTreeMap::new();
-    for (at, event) in events {
+    for (time, event) in events {
         if let Event::DrainReported { process, node } = event {
-            drain_reports.entry((*process, *node)).or_insert(*at);
+            drain_reports.entry((*process, *node)).or_insert(*time);
         }
     }
     let mut breaches = Vec::new();
     for (id, request) in &requests(events) {
         let Some((_, process, ..)) = request.written else { continue };
-        for (at, node) in &request.began {
+        for (time, node) in &request.began {
             let Some(since) = drain_reports.get(&(process, *node)) else { continue };
-            let paused = ProcessEvents(events).paused(process, *since, *at);
+            let paused = ProcessEvents(events).paused(process, *since, *time);
             // The drain grace has to cover a short scheduling delay.
             let excused = if paused > SCHEDULING_DELAY_S { paused } else { 0.0 };
-            if *at > since + bounds.drain_grace + TIME_SLACK_S + excused {
+            if *time > since + bounds.drain_grace + TIME_SLACK_S + excused {
                 let description = format!("node {node} was reported as draining at {since:.3}");
-                breaches.push(breach(Guarantee::Drain, id, *at, description));
+                breaches.push(breach(Guarantee::Drain, id, *time, description));
             }
         }
     }
@@ -334,18 +339,18 @@
     let min_level = -limit.slack - limit.rate * SCHEDULING_DELAY_S;
     let (mut level, mut refilled_at) = (limit.burst, 0.0);
     let mut counted = std::collections::BTreeSet::new();
-    for (at, event) in events {
+    for (time, event) in events {
         let Event::AttemptArrived { id, .. } = event else { continue };
         if !counted.insert(id) {
             continue;
         }
-        level = (level + limit.rate * (at - refilled_at)).min(limit.burst) - 1.0;
-        refilled_at = *at;
+        level = (level + limit.rate * (time - refilled_at)).min(limit.burst) - 1.0;
+        refilled_at = *time;
         if level < min_level {
             return Some(breach(
                 Guarantee::Limit,
                 id,
-                *at,
+                *time,
                 format!("token bucket at {level:.2} units, minimum {min_level:.2}"),
             ));
         }
@@ -355,23 +360,23 @@
 
 /// Nine in ten processes are ready within `USUAL_STARTUP_S`, and all within `MAX_STARTUP_S`.
 fn startup_times(events: &[TimedEvent]) -> Option<Breach> {
-    let ready = events.iter().filter_map(|(at, event)| match event {
-        Event::Ready { process, after } => Some((*at, *process, *after)),
+    let ready = events.iter().filter_map(|(time, event)| match event {
+        Event::Ready { process, after } => Some((*time, *process, *after)),
         _ => None,
     });
     let ready: Vec<_> = ready.collect();
     let late: Vec<_> = ready.iter().filter(|(.., after)| *after > USUAL_STARTUP_S).collect();
     let too_late = late.iter().find(|(.., after)| *after > MAX_STARTUP_S);
-    let (at, process, after) = too_late.or(late.first())?;
+    let (time, process, after) = too_late.or(late.first())?;
     let exceeded = too_late.is_some() || 10 * late.len() > ready.len();
     let description = format!("ready after {after:.3} s; {} of {} processes late", late.len(), ready.len());
-    exceeded.then(|| breach(Guarantee::ReadyInTime, &format!("process {process}"), *at, description))
+    exceeded.then(|| breach(Guarantee::ReadyInTime, &format!("process {process}"), *time, description))
 }
 
 /// Memory, descriptors, exit codes and panics of the processes.
 fn process_bounds(bounds: &Bounds, events: &[TimedEvent]) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for (at, event) in events {
+    for (time, event) in events {
         let found = match event {
             Event::ResourcesSampled { process, resident_kb, .. }
                 if resident_kb * 1024 > bounds.memory_mb * 1_000_000 =>
@@ -391,7 +396,7 @@
             _ => None,
         };
         breaches.extend(found.map(|(guarantee, process, description)| {
-            breach(guarantee, &format!("process {process}"), *at, description)
+            breach(guarantee, &format!("process {process}"), *time, description)
         }));
     }
     breaches
--- a/crates/programs/tests/soak/process.rs
+++ b/crates/programs/tests/soak/process.rs
@@ -16,8 +16,8 @@
 
 /// Clients keep opening new connections to a process for this long after its SIGTERM.
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(400);
-/// No signal is sent to a process during its first second.
-const NO_SIGNAL_PERIOD: Duration = Duration::from_secs(1);
+/// The specification sends no SIGHUP in a process's first second; the test sends neither SIGTERM nor SIGKILL then either.
+const NO_SIGNALS_AFTER_START: Duration = Duration::from_secs(1);
 /// A process that is not ready after this time counts as failed to start.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -138,11 +138,12 @@
         is_running
     }
 
-    /// Whether the specification allows a signal to this process now. If `terminate` is set and it does, marks the process as
+    /// Whether SIGHUP, SIGTERM or SIGKILL may be sent to this process now. If so and `terminate` is set, marks the process as
     /// terminating.
     fn may_signal(&self, process: usize, terminate: bool) -> bool {
         let mut slot = self.slot(process);
-        let allowed = slot.ready && slot.terminated.is_none() && slot.started.elapsed() > NO_SIGNAL_PERIOD;
+        let allowed =
+            slot.ready && slot.terminated.is_none() && slot.started.elapsed() > NO_SIGNALS_AFTER_START;
         if allowed && terminate {
             slot.terminated = Some(Instant::now());
         }
--- a/crates/programs/tests/soak/record.rs
+++ b/crates/programs/tests/soak/record.rs
@@ -74,7 +74,7 @@
     ResourcesSampled { process: usize, resident_kb: usize, descriptors: usize },
     /// The log of a process contains a panic.
     Panicked { process: usize, line: String },
-    /// A fault of this kind occurred.
+    /// A fault or a client behavior of this kind occurred.
     FaultOccurred(&'static str),
 }
 
@@ -109,7 +109,7 @@
         self.events.lock().expect("no panic").push((time, event));
     }
 
-    /// Records that a fault of this kind occurred.
+    /// Records that a fault or a client behavior of this kind occurred.
     pub fn record_fault(&self, kind: &'static str) {
         self.record(Event::FaultOccurred(kind));
     }
--- a/crates/programs/tests/soak/runner.rs
+++ b/crates/programs/tests/soak/runner.rs
@@ -32,7 +32,7 @@
 pub struct Outcome {
     pub scenario: Scenario,
     pub requests: usize,
-    /// How often each kind of fault occurred.
+    /// How often each kind of fault or client behavior occurred.
     pub occurred: BTreeMap<&'static str, usize>,
     pub breaches: Vec<Breach>,
     /// Holds the logs of the processes and the transcript.
@@ -221,7 +221,7 @@
         true
     }
 
-    /// Opens idle connections, as many as would exhaust the descriptors, while discovery is down.
+    /// Opens many idle connections, which may exhaust the descriptors of the process, while discovery is down.
     fn idle_clients(&self, process: usize, clients: usize) -> bool {
         let Some(address) = self.fleet.address(process) else { return false };
         self.fleet.discoveries[process].is_down.store(true, Ordering::SeqCst);
--- a/crates/programs/tests/soak/scenario.rs
+++ b/crates/programs/tests/soak/scenario.rs
@@ -83,7 +83,7 @@
     NodeMisbehaves { node: usize, behavior: NodeBehavior, duration: f64 },
     /// Discovery is unavailable for this time.
     DiscoveryDown { duration: f64 },
-    /// More idle clients than the process has descriptors for, while discovery is down.
+    /// Many idle clients, more than the smaller of the descriptor limits allows, while discovery is down.
     IdleClients { process: usize, clients: usize },
     /// Many clients that each send a request without the last byte of its body.
     IncompleteBodies { process: usize, clients: usize },
@@ -120,7 +120,7 @@
     }
 }
 
-/// Kinds of faults that must each occur in some run of a long series of seeds.
+/// Kinds of faults and client behaviors that must each occur in some run of a long series of seeds.
 pub const FAULT_KINDS: [&str; 24] = [
     "restarts",
     "crashes",
@@ -166,7 +166,7 @@
     Disconnects,
 }
 
-/// Behaviors to choose from. Idle clients are listed three times, because they cause most cases in which a request crosses the
+/// Behaviors to choose from. Idle clients are listed three times, because they meet most cases in which a request crosses the
 /// close of its connection.
 pub const CLIENT_BEHAVIORS: [ClientBehavior; 8] = [
     ClientBehavior::Paced,
