--- a/crates/programs/tests/soak/client.rs
+++ b/crates/programs/tests/soak/client.rs
@@ -148,7 +148,7 @@
         if stream.write_all(text.as_bytes()).is_err() {
             return false;
         }
-        self.fleet.recorder.record_fault("pipelined requests");
+        self.fleet.recorder.record_occurrence("pipelined requests");
         for (index, request) in requests.iter().enumerate() {
             self.record_written(request, new_connection && index == 0);
             if !matches!(self.wait_for_answer(stream, request), RequestEnd::Answered) {
@@ -166,7 +166,7 @@
             }
             thread::sleep(Duration::from_micros(500));
         }
-        self.fleet.recorder.record_fault("requests sent byte by byte");
+        self.fleet.recorder.record_occurrence("requests sent byte by byte");
         self.record_written(&request, new_connection);
         matches!(self.wait_for_answer(stream, &request), RequestEnd::Answered)
     }
@@ -180,7 +180,7 @@
         self.sleep(0, 40);
         let _ = stream.shutdown(Shutdown::Both);
         self.fleet.recorder.record(Event::ClientDisconnected { id: request.id });
-        self.fleet.recorder.record_fault("clients that disconnect");
+        self.fleet.recorder.record_occurrence("clients that disconnect");
         false
     }
 
@@ -194,7 +194,7 @@
         let mut sends_at = None;
         while !self.stopped() && Instant::now() < idle_until {
             if closes_within(stream, Duration::from_millis(5)) {
-                self.fleet.recorder.record_fault("idle until the process closed");
+                self.fleet.recorder.record_occurrence("idle until the process closed");
                 return false;
             }
             if self.fleet.is_terminating(self.process) && sends_at.is_none() {
@@ -210,13 +210,13 @@
 
     fn send_during_shutdown(&mut self, stream: &mut TcpStream) -> bool {
         if self.rng.generate::<bool>() {
-            self.fleet.recorder.record_fault("requests on a closing connection");
+            self.fleet.recorder.record_occurrence("requests on a closing connection");
             return self.send_request(stream, false);
         }
         let request = self.request();
         let half = &request.text.as_bytes()[..request.text.len() / 2];
         if stream.write_all(half).is_ok() {
-            self.fleet.recorder.record_fault("half a request during shutdown");
+            self.fleet.recorder.record_occurrence("half a request during shutdown");
             closes_within(stream, ANSWER_WAIT);
         }
         false
--- a/crates/programs/tests/soak/node.rs
+++ b/crates/programs/tests/soak/node.rs
@@ -183,7 +183,7 @@
             thread::sleep(SECOND_ANSWER_DELAY);
             // If the machine delayed this thread, the answer would be later than "some milliseconds".
             if began.elapsed() < SECOND_ANSWER_MAX_DELAY && write_response(&mut second, "200 OK", &id) {
-                recorder.record_fault("second answers");
+                recorder.record_occurrence("second answers");
             }
         });
         true
--- a/crates/programs/tests/soak/process.rs
+++ b/crates/programs/tests/soak/process.rs
@@ -161,12 +161,12 @@
         if sigterm_twice {
             thread::sleep(Duration::from_millis(100));
             self.signal(process, Signal::TERM);
-            self.recorder.record_fault("SIGTERM twice");
+            self.recorder.record_occurrence("SIGTERM twice");
         }
         if reload {
             thread::sleep(Duration::from_millis(50));
             if self.signal(process, Signal::HUP) {
-                self.recorder.record_fault("SIGHUP after SIGTERM");
+                self.recorder.record_occurrence("SIGHUP after SIGTERM");
             }
         }
         self.kill_at(process, began + Duration::from_secs_f64(self.scenario.sigkill_delay()));
@@ -185,7 +185,7 @@
             }
             if Instant::now() >= deadline {
                 self.recorder.record(Event::Killed { process });
-                self.recorder.record_fault("alive at SIGKILL");
+                self.recorder.record_occurrence("alive at SIGKILL");
                 break slot.gateway.take().expect("a started process");
             }
             drop(slot);
--- a/crates/programs/tests/soak/record.rs
+++ b/crates/programs/tests/soak/record.rs
@@ -75,7 +75,7 @@
     /// The log of a process contains a panic.
     Panicked { process: usize, line: String },
     /// A fault or a client behavior of this kind occurred.
-    FaultOccurred(&'static str),
+    Occurred(&'static str),
 }
 
 /// Collects the events of a run; clones share the events.
@@ -110,8 +110,8 @@
     }
 
     /// Records that a fault or a client behavior of this kind occurred.
-    pub fn record_fault(&self, kind: &'static str) {
-        self.record(Event::FaultOccurred(kind));
+    pub fn record_occurrence(&self, kind: &'static str) {
+        self.record(Event::Occurred(kind));
     }
 
     /// All events, sorted by time.
--- a/crates/programs/tests/soak/runner.rs
+++ b/crates/programs/tests/soak/runner.rs
@@ -95,7 +95,7 @@
     let breaches = check_guarantees(&Bounds::of(&scenario), &events);
     let mut occurred = BTreeMap::<&'static str, usize>::new();
     for (_, event) in &events {
-        if let Event::FaultOccurred(kind) = event {
+        if let Event::Occurred(kind) = event {
             *occurred.entry(kind).or_default() += 1;
         }
     }
@@ -162,7 +162,7 @@
             }
         };
         if occurred {
-            self.recorder.record_fault(fault.name());
+            self.recorder.record_occurrence(fault.name());
         }
     }
 
