--- a/crates/programs/tests/helper/mod.rs
+++ b/crates/programs/tests/helper/mod.rs
@@ -183,7 +183,7 @@
 
     /// Lists a node with the register.
     pub fn list_node(&self, node: SocketAddr, block: i64, condition: NodeCondition) {
-        self.register.list(&node.to_string(), "hall-0", block, condition, None, 0.0);
+        self.register.set_entry(&node.to_string(), "hall-0", block, condition, None, 0.0);
     }
 
     pub fn signal(&self, signal: Signal) {
