--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -18,7 +18,7 @@
 use quaypath_nvme::command::{opcode, Cqe, Marks, Sqe};
 use quaypath_nvme::host::{Event, Host, Offer};
 use quaypath_nvme::status;
-use quaypath_record::{Event as Line, TransactionEnd, Writer};
+use quaypath_record::{Event as RecordEvent, TransactionEnd, Writer};
 use quaypath_rules::Repeat;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -97,7 +97,7 @@
 /// Clients that run on a thread of their own.
 pub struct Clients {
     pub counts: SharedMutex<ClientCounts>,
-    _running: Runtime,
+    _runtime: Runtime,
 }
 
 impl Clients {
@@ -105,7 +105,7 @@
     pub fn start(options: Options, record: Writer) -> Clients {
         let counts = SharedMutex::<ClientCounts>::default();
         let shared = counts.clone();
-        let running = Runtime::start("clients", move |executor| {
+        let runtime = Runtime::start("clients", move |executor| {
             let state = State {
                 random: SmallRng::seed_from_u64(options.seed),
                 timers: TimerWheel::new(record.clock.now()),
@@ -125,7 +125,7 @@
             }
             executor.spawn(run_schedule(state)).detach();
         });
-        Clients { counts, _running: running }
+        Clients { counts, _runtime: runtime }
     }
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// What a timer starts.
-enum Due {
+enum TimerAction {
     /// Retries an operation: its number, its index in the schedule and the number of the retry.
     Retry(u64, usize, u32),
     /// Cancels the command with this mark.
@@ -162,7 +162,7 @@
     options: Options,
     record: Writer,
     random: SmallRng,
-    timers: TimerWheel<Due>,
+    timers: TimerWheel<TimerAction>,
     counts: Arc<Mutex<ClientCounts>>,
     /// By gateway and queue id; 0 is the admin queue and 1 the I/O queue.
     queues: HashMap<(u32, u16), Queue>,
@@ -233,8 +233,8 @@
         self.timers.advance(now, &mut due);
         for event in due {
             match event {
-                Due::Retry(operation, index, retries) => self.send(operation, index, retries),
-                Due::Cancel(mark) => self.cancel(mark),
+                TimerAction::Retry(operation, index, retries) => self.send(operation, index, retries),
+                TimerAction::Cancel(mark) => self.cancel(mark),
             }
         }
         while self
@@ -292,11 +292,11 @@
         let key = u64::from(planned.volume) << 32 | u64::from(planned.key);
         let (gateway, volume, band, units) = (planned.gateway, planned.volume, planned.band, planned.units);
         let budget = planned.budget;
-        self.record.put(Line::CommandSent { t, gateway, mark, volume, band, units, key, budget });
+        self.record.put(RecordEvent::CommandSent { t, gateway, mark, volume, band, units, key, budget });
         self.counts.lock().unwrap().commands_sent += 1;
         self.outstanding.insert(mark, Outstanding { index, gateway, cid, retries, cancelled: false });
         if let Some(cancel_after) = planned.cancel_after {
-            self.timers.set(t + cancel_after, Due::Cancel(mark));
+            self.timers.set(t + cancel_after, TimerAction::Cancel(mark));
         }
         self.flush(gateway, 1);
     }
@@ -307,7 +307,8 @@
         let wait = retry_override.map_or(wait, |(_, wait)| wait);
         if retries < retry_override.map_or(self.options.retries, |(max_retries, _)| max_retries).min(255) {
             let wait = wait * self.random.random_range(0.8..1.2);
-            self.timers.set(self.record.clock.now() + wait, Due::Retry(operation, index, retries + 1));
+            self.timers
+                .set(self.record.clock.now() + wait, TimerAction::Retry(operation, index, retries + 1));
             self.wake.notify();
         }
     }
@@ -320,7 +321,7 @@
         };
         outstanding.cancelled = true;
         let (gateway, cid) = (outstanding.gateway, outstanding.cid);
-        self.record.put(Line::ClientCancelled { t: self.record.clock.now(), mark });
+        self.record.put(RecordEvent::ClientCancelled { t: self.record.clock.now(), mark });
         if let Some(admin) = self.queues.get_mut(&(gateway, 0)) {
             if let Some((_, mut bytes)) = admin.protocol.submit(Sqe::abort(1, cid), Vec::new(), 0) {
                 admin.output.append(&mut bytes);
@@ -361,7 +362,7 @@
             status::INTERRUPTED => TransactionEnd::Declined,
             _ => TransactionEnd::Scrapped,
         };
-        self.record.put(Line::FinalAnswer { t, gateway, mark, end });
+        self.record.put(RecordEvent::FinalAnswer { t, gateway, mark, end });
         self.counts.lock().unwrap().answered += 1;
         let band = self.options.schedule[outstanding.index].band;
         let may_retry = match end {
@@ -385,7 +386,7 @@
             marks.sort_unstable();
             for mark in marks {
                 let Some(outstanding) = self.outstanding.remove(&mark) else { continue };
-                self.record.put(Line::ClientConnectionLost { t, gateway, mark });
+                self.record.put(RecordEvent::ClientConnectionLost { t, gateway, mark });
                 let band = self.options.schedule[outstanding.index].band;
                 if self.options.bands[band].repeat == Repeat::Repeatable && !outstanding.cancelled {
                     self.retry(mark >> 8, outstanding.index, outstanding.retries, self.options.backoff);
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -18,7 +18,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use quaypath_fleet::message::{Message, MessageKind, MAX_DATAGRAM_BYTES};
 use quaypath_fleet::Status;
-use quaypath_record::{Event as Line, Writer};
+use quaypath_record::{Event as RecordEvent, Writer};
 use quaypath_settings::{FaultKind, LinkEnd};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -129,7 +129,7 @@
     state: SharedState,
     /// Requests to open a relay: its listener, the link ends of gateway and destination, and the destination address.
     requests: Sender<(TcpListener, LinkEnd, LinkEnd, SocketAddr)>,
-    _running: Runtime,
+    _runtime: Runtime,
 }
 
 /// What is needed to decode and record the datagrams of members.
@@ -156,7 +156,7 @@
         let (requests, requested) = bounded(1024);
         let (shared, observer) =
             (state.clone(), Observer { fleet: quaypath_fleet::message::fleet_hash(fleet), record });
-        let running = Runtime::start("links", move |executor| {
+        let runtime = Runtime::start("links", move |executor| {
             let weak = Rc::downgrade(executor);
             let delayed_count = Rc::new(std::cell::Cell::new(0));
             let (traffic, last_reported) = (Traffic::default(), LastReported::default());
@@ -177,7 +177,7 @@
             executor.spawn(record_traffic(traffic, observer)).detach();
             executor.spawn(open_relays(requested, shared, weak)).detach();
         });
-        Ok(Links { member_addresses: addresses, state, requests, _running: running })
+        Ok(Links { member_addresses: addresses, state, requests, _runtime: runtime })
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
@@ -269,7 +269,7 @@
         let t = observer.record.clock.now();
         for ((gateway, process), (datagrams, bytes, longest)) in std::mem::take(&mut *traffic.borrow_mut()) {
             let seconds = t - last;
-            observer.record.put(Line::MemberTraffic {
+            observer.record.put(RecordEvent::MemberTraffic {
                 t,
                 gateway,
                 process,
@@ -373,7 +373,7 @@
         };
         let (live, dead) = (members_with(&[Status::Alive, Status::Suspect]), members_with(&[Status::Dead]));
         let incarnation = message.incarnation;
-        self.observer.record.put(Line::MemberView { t, gateway, process, incarnation, live, dead });
+        self.observer.record.put(RecordEvent::MemberView { t, gateway, process, incarnation, live, dead });
     }
 }
 
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -21,7 +21,7 @@
 use quaypath_nvme::command::{opcode, Cqe, Sqe};
 use quaypath_nvme::controller::{Controller, Event};
 use quaypath_nvme::status;
-use quaypath_record::{Event as Line, ListedCondition, Writer};
+use quaypath_record::{Event as RecordEvent, ListedCondition, Writer};
 use quaypath_settings::Mode;
 
 use crate::runtime::{gateway_of, read_until_closed, serve_connections, OutputBuffer, Runtime, Stream};
@@ -76,7 +76,7 @@
     pub address: SocketAddr,
     log: Arc<Mutex<ChangeLog>>,
     record: Writer,
-    _running: Runtime,
+    _runtime: Runtime,
 }
 
 fn listed(condition: NodeCondition) -> ListedCondition {
@@ -101,7 +101,7 @@
         let address = listener.local_addr()?;
         let log = Arc::<Mutex<ChangeLog>>::default();
         let (shared, writer) = (log.clone(), record.clone());
-        let running = Runtime::start("register", move |executor| {
+        let runtime = Runtime::start("register", move |executor| {
             let listener = Async::new(listener).expect("a listener for the reactor");
             let state = State {
                 log: shared,
@@ -117,7 +117,7 @@
             serve_connections(executor, listener, state.clone(), connection_opened, serve);
             executor.spawn(notify_changes(state)).detach();
         });
-        Ok(Register { address, log, record, _running: running })
+        Ok(Register { address, log, record, _runtime: runtime })
     }
 
     /// Sets the entry of a node, visible `after` seconds from now. `started` is the start time of the node in seconds; if
@@ -144,7 +144,7 @@
         let entry = NodeEntry { node: node.clone(), zone, block, condition, age, start };
         let index = log.changes.partition_point(|change| change.visible_at <= visible_at);
         log.changes.insert(index, Change { visible_at, entry, started_at, port });
-        self.record.put(Line::ListChanged { t: visible_at, node, condition: listed(condition) });
+        self.record.put(RecordEvent::ListChanged { t: visible_at, node, condition: listed(condition) });
     }
 
     /// Switches the fault that reading a log fails; it has an effect only if hosts poll the register.
@@ -332,7 +332,13 @@
         let gateway = connection.gateway;
         let previous = std::mem::take(&mut connection.sent_nodes);
         let record_entry = |node: &str, condition, listed_at| {
-            self.record.put(Line::ListEntrySent { t, gateway, node: node.into(), condition, listed_at });
+            self.record.put(RecordEvent::ListEntrySent {
+                t,
+                gateway,
+                node: node.into(),
+                condition,
+                listed_at,
+            });
         };
         for change in &view.changes {
             record_entry(&change.entry.node, listed(change.entry.condition), change.visible_at);
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -19,7 +19,7 @@
 use quaypath_nvme::controller::{Controller, Event};
 use quaypath_nvme::pdu::{DataPart, Format, Pdu};
 use quaypath_nvme::{status, BLOCK_SIZE};
-use quaypath_record::{Event as Line, ShotEnd, Writer};
+use quaypath_record::{Event as RecordEvent, ShotEnd, Writer};
 use quaypath_rules::{Band, DedupScope, Repeat};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -222,7 +222,7 @@
     /// Current faults.
     pub faults: SharedMutex<Faults>,
     record: Writer,
-    running: Option<Runtime>,
+    runtime: Option<Runtime>,
 }
 
 impl Target {
@@ -231,18 +231,18 @@
         let node = listener.local_addr()?.to_string();
         let faults = SharedMutex::<Faults>::default();
         let (zone, block, cold) = (options.zone.clone(), options.block, options.cold);
-        record.put(Line::NodeStarted { t: record.clock.now(), node: node.clone(), block, zone, cold });
+        record.put(RecordEvent::NodeStarted { t: record.clock.now(), node: node.clone(), block, zone, cold });
         let (shared_faults, writer) = (faults.clone(), record.clone());
-        let running = Runtime::start(&format!("target-{block}"), move |executor| {
+        let runtime = Runtime::start(&format!("target-{block}"), move |executor| {
             spawn_target(executor, options, listener, writer, shared_faults);
         });
-        Ok(Target { node, faults, record, running: Some(running) })
+        Ok(Target { node, faults, record, runtime: Some(runtime) })
     }
 
     /// Stops it as a killed process: sockets are closed at once and running work is lost.
     pub fn kill(&mut self) {
-        if self.running.take().is_some() {
-            self.record.put(Line::NodeStopped { t: self.record.clock.now(), node: self.node.clone() });
+        if self.runtime.take().is_some() {
+            self.record.put(RecordEvent::NodeStopped { t: self.record.clock.now(), node: self.node.clone() });
         }
     }
 
@@ -451,7 +451,7 @@
         let (shot, units) = (u32::from(marks.shot), u32::from(marks.units.max(1)));
         let (node, mark, volume) = (self.name.clone(), marks.mark, sqe.nsid);
         let band = usize::from(marks.band.saturating_sub(1));
-        self.record.put(Line::ShotArrived { t: now, node, gateway, mark, shot, volume, units, band });
+        self.record.put(RecordEvent::ShotArrived { t: now, node, gateway, mark, shot, volume, units, band });
         let faults = self.faults.lock().unwrap().clone();
         if faults.error_share > 0.0 && self.random.random::<f64>() < faults.error_share {
             self.record_end(gateway, &marks, ShotEnd::Failed);
@@ -478,7 +478,7 @@
                 self.respond(number, cqe, &[]);
             }
             (Admission::Overloaded, _) => {
-                self.record.put(Line::NodeOverloaded { t: now, node: self.name.clone() });
+                self.record.put(RecordEvent::NodeOverloaded { t: now, node: self.name.clone() });
                 let numbers: Vec<u64> = self.connections.keys().copied().collect();
                 numbers.into_iter().for_each(|number| self.close(number));
             }
@@ -490,7 +490,7 @@
     fn record_end(&self, gateway: u32, marks: &Marks, end: ShotEnd) {
         let (t, node) = (self.now(), self.name.clone());
         let (mark, shot) = (marks.mark, u32::from(marks.shot));
-        self.record.put(Line::ShotEnded { t, node, gateway, mark, shot, end });
+        self.record.put(RecordEvent::ShotEnded { t, node, gateway, mark, shot, end });
     }
 
     /// Handles a command of the admin queue.
@@ -498,7 +498,7 @@
         let now = self.now();
         if sqe.opcode == opcode::GET_LOG_PAGE {
             let gateway = self.connections.get(&number).map_or(0, |connection| connection.gateway);
-            self.record.put(Line::NodeProbed { t: now, node: self.name.clone(), gateway });
+            self.record.put(RecordEvent::NodeProbed { t: now, node: self.name.clone(), gateway });
         }
         let view = TargetView { options: &self.options, name: &self.name };
         match self.associations.command(now, number, sqe, &view) {
@@ -618,9 +618,9 @@
             _ => status::SUCCESS,
         };
         self.record.put(if is_new {
-            Line::EffectApplied { t: now, node, mark }
+            RecordEvent::EffectApplied { t: now, node, mark }
         } else {
-            Line::RepeatDropped { t: now, node, mark }
+            RecordEvent::RepeatDropped { t: now, node, mark }
         });
         for ((other_gateway, volume), units) in &mut self.others_units {
             if *volume == sqe.nsid && *other_gateway != gateway {
