--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -160,8 +160,8 @@
             print_line!("{}", report.table());
             print_line!("{} first tries found no gateway", clients.unreachable);
             print_line!("{}", memory_line(memory, day.lasts));
-            report.fleet.iter().for_each(|fleet_report| print_line!("{}", fleet_report.line()));
-            print_line!("{}", report.sharing.line());
+            report.fleet_summary.iter().for_each(|fleet_report| print_line!("{}", fleet_report.line()));
+            print_line!("{}", report.sharing_summary.line());
             if !outcome.link_faults.is_empty() {
                 let fault_counts =
                     outcome.link_faults.iter().map(|(kind, occurrences)| format!("{kind} {occurrences}"));
@@ -309,7 +309,7 @@
     let outcome = run::run(&day, &deployment, &options).map_err(|error| error.to_string())?;
     let report = report::from_files(&deployment, day.transit, &[run::record_path(&folder)])
         .map_err(|error| error.to_string())?;
-    let fleet_report = report.fleet.clone().unwrap_or_default();
+    let fleet_report = report.fleet_summary.clone().unwrap_or_default();
     let cores: f64 = outcome.processor_times.values().map(|(used, running)| used / running.max(1.0)).sum();
     let percent = 100.0 * cores / outcome.processor_times.len().max(1) as f64;
     let mut process_memory: Vec<u64> =
