--- a/crates/day/src/plan.rs
+++ b/crates/day/src/plan.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd, Surge};
-use quaypath_standins::client::Ask;
+use quaypath_standins::client::PlannedTransaction;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -23,7 +23,7 @@
 }
 
 /// The first try of every transaction of the clients, in order of time.
-pub fn traffic(day: &Day, deployment: &Deployment) -> Vec<Ask> {
+pub fn traffic(day: &Day, deployment: &Deployment) -> Vec<PlannedTransaction> {
     let mut rng = SmallRng::seed_from_u64(day.seed);
     let shares = day.shares(deployment);
     let volumes: Vec<_> = deployment.volumes.iter().collect();
@@ -73,10 +73,10 @@
         let due = deployment.core.bands[band].due;
         let cancellation =
             day.traffic.leave.iter().find(|leave| (leave.at..leave.at + leave.lasts).contains(&at));
-        let cancels_after =
+        let cancel_after =
             cancellation.filter(|leave| rng.random::<f64>() < leave.part).map(|leave| leave.after * due);
-        requests.push(Ask {
-            at,
+        requests.push(PlannedTransaction {
+            starts_at: at,
             gateway: (**id * 5 + initiator % initiators) % gateways,
             volume: **id,
             band,
@@ -86,8 +86,8 @@
             blocks: 8.min(deployment.extent_blocks as u32),
             initiators,
             budget: deployment.outer_limits[band],
-            leaves: cancels_after,
-            retries: day
+            cancel_after,
+            retry_override: day
                 .traffic
                 .abuse
                 .iter()
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -13,11 +13,11 @@
 use quaypath_record::{Clock, Event, Writer};
 
 use quaypath_settings::{Day, Deployment, FaultKind, LinkEnd};
-use quaypath_standins::client::{self, Clients, Tally};
+use quaypath_standins::client::{self, ClientCounts, Clients};
 use quaypath_standins::links::Links;
-use quaypath_standins::model::Figures;
+use quaypath_standins::model::ModelConfig;
 use quaypath_standins::register::Register;
-use quaypath_standins::target::{self, zone_of, Fleet, Target};
+use quaypath_standins::target::{self, zone_of, SharedData, Target};
 use rustix::process::{kill_process, Pid, Signal};
 use thiserror::Error;
 use tracing::{debug, info, warn};
@@ -73,7 +73,7 @@
     /// Memory of the gateways.
     pub memory: MemorySamples,
     /// Counts of the clients.
-    pub clients: Tally,
+    pub clients: ClientCounts,
     /// Number of times that a link fault was injected, by kind.
     pub link_faults: BTreeMap<String, u64>,
     /// Processor time and running time of each gateway process, seconds.
@@ -155,10 +155,10 @@
         }
         let mut fleet_listen = self.address;
         fleet_listen.set_port(0);
-        let links = links.filter(|links| !links.members.is_empty());
+        let links = links.filter(|links| !links.member_addresses.is_empty());
         if let Some(links) = links {
             command.args(["--fleet-listen", &fleet_listen.to_string()]);
-            for (member, address) in &links.members {
+            for (member, address) in &links.member_addresses {
                 command.args(["--member", &format!("{member}={address}")]);
             }
         }
@@ -190,7 +190,7 @@
                     problem: format!("printed '{}' instead of the address for its fleet", line.trim()),
                 });
             };
-            links.home(number, self.incarnation, fleet_address);
+            links.add_process(number, self.incarnation, fleet_address);
             self.fleet_address = Some(fleet_address);
         }
         self.process = Some((child, stdin, lines));
@@ -242,7 +242,7 @@
             let _ = child.kill();
             let _ = child.wait();
             if let (Some(links), Some(fleet_address)) = (links, self.fleet_address.take()) {
-                links.gone(self.number, fleet_address);
+                links.remove_process(self.number, fleet_address);
             }
             if self.is_duplicate {
                 return;
@@ -282,7 +282,7 @@
     options: &'a Options,
     record: Writer,
     register: Register,
-    fleet: Arc<Fleet>,
+    shared_data: Arc<SharedData>,
     nominal: Arc<BTreeMap<u32, f64>>,
     volumes: Arc<BTreeMap<u32, u64>>,
     targets: BTreeMap<i64, Target>,
@@ -304,7 +304,7 @@
 impl TestBed<'_> {
     /// Starts a node for `block` on a new port, and lists it in the register.
     fn start_target(&mut self, block: i64, cold: bool) -> Result<(), Error> {
-        let listener = target::listener().map_err(io_error("opening a port for a target"))?;
+        let listener = target::loopback_listener().map_err(io_error("opening a port for a target"))?;
         self.start_target_at(block, cold, listener)
     }
 
@@ -314,35 +314,35 @@
         let (fleet, core) = (&self.day.fleet, &self.deployment.core);
         let zone = zone_of(block, self.deployment.zones);
         let bands = self.deployment.rule_parameters.bands.iter();
-        let bands = bands.map(|band| target::BandRule::of(band, &zone, block)).collect();
+        let bands = bands.map(|band| target::BandRule::for_target(band, &zone, block)).collect();
         self.targets_started += 1;
         let options = target::Options {
             block,
             zone: zone.clone(),
             cold,
             seed: self.day.seed.wrapping_mul(31).wrapping_add(self.targets_started),
-            figures: Figures {
+            model: ModelConfig {
                 cores: fleet.cores as usize,
                 unit_time: fleet.unit_time,
-                run_part: fleet.run_part,
-                recent: 3,
-                put_off: fleet.put_off,
-                flush_every: fleet.flush_every,
-                queue: fleet.queue * fleet.cores as usize,
+                recent_extent_factor: fleet.run_part,
+                recent_extents: 3,
+                deferred_write_share: fleet.put_off,
+                flush_interval: fleet.flush_every,
+                queue_capacity: fleet.queue * fleet.cores as usize,
                 start_capacity: core.start_capacity,
-                warm_after: fleet.warm_after,
-                fall_multiple: core.overload_multiple,
-                overload_for: core.overload_window,
-                young_units: core.cold_start_units,
-                cancel_stops: fleet.cancel_stops,
+                warm_up: fleet.warm_after,
+                overload_multiple: core.overload_multiple,
+                overload_window: core.overload_window,
+                cold_start_units: core.cold_start_units,
+                cancel_stops_running: fleet.cancel_stops,
             },
             bands,
-            metering: self.deployment.metering_period,
-            nominal: self.nominal.clone(),
+            metering_period: self.deployment.metering_period,
+            nominal_rates: self.nominal.clone(),
             volumes: self.volumes.clone(),
-            takes: target::TAKES,
-            fleet: self.fleet.clone(),
-            spread: 0.4,
+            accepted_format: target::ACCEPTED_FORMAT,
+            shared: self.shared_data.clone(),
+            work_sigma: 0.4,
         };
         let target =
             Target::start(options, listener, self.record.clone()).map_err(io_error("starting a target"))?;
@@ -351,7 +351,7 @@
         drop(blocks);
         let started = cold.then(|| self.record.clock.now());
         let notice = if cold { fleet.notice * 0.5 } else { 0.0 };
-        self.register.list(&target.node, &zone, block, NodeCondition::Ready, started, notice);
+        self.register.set_entry(&target.node, &zone, block, NodeCondition::Ready, started, notice);
         self.targets.insert(block, target);
         Ok(())
     }
@@ -368,20 +368,20 @@
             Action::Node { kind, block, size, begins } => {
                 let Some(target) = self.targets.get(block) else { return Ok(()) };
                 let (on, size, begins) = (target.node.clone(), *size, *begins);
-                target.set(|faults| match kind {
-                    FaultKind::Slow => faults.slow = if begins { size } else { 1.0 },
+                target.set_faults(|faults| match kind {
+                    FaultKind::Slow => faults.slowdown = if begins { size } else { 1.0 },
                     FaultKind::Pauses => faults.pause = if begins { size } else { 0.0 },
-                    FaultKind::FastErrors => faults.errors = if begins { size } else { 0.0 },
-                    FaultKind::LostAnswers => faults.lost = if begins { size } else { 0.0 },
-                    FaultKind::Resets => faults.resets = if begins { size } else { 0.0 },
-                    FaultKind::Refused => faults.refuse = begins,
-                    FaultKind::Partition => faults.partition = begins,
+                    FaultKind::FastErrors => faults.error_share = if begins { size } else { 0.0 },
+                    FaultKind::LostAnswers => faults.lost_share = if begins { size } else { 0.0 },
+                    FaultKind::Resets => faults.resets_per_second = if begins { size } else { 0.0 },
+                    FaultKind::Refused => faults.refuse_connections = begins,
+                    FaultKind::Partition => faults.hold_output = begins,
                     FaultKind::Neighbour => {
-                        faults.slow = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
+                        faults.slowdown = if begins { 1.0 / (1.0 - size.min(0.95)) } else { 1.0 }
                     }
-                    FaultKind::HeavyTail => faults.heavy = if begins { size } else { 0.0 },
-                    FaultKind::Rogue => faults.rogue = if begins { size } else { 0.0 },
-                    FaultKind::LateReports => faults.late = if begins { size } else { 0.0 },
+                    FaultKind::HeavyTail => faults.heavy_share = if begins { size } else { 0.0 },
+                    FaultKind::Rogue => faults.violation_share = if begins { size } else { 0.0 },
+                    FaultKind::LateReports => faults.report_delay = if begins { size } else { 0.0 },
                     _ => {}
                 });
                 self.record_fault(*kind, on, begins);
@@ -453,7 +453,7 @@
             }
             Action::Link { kind, from, to, size, begins } => {
                 if let Some(links) = &self.links {
-                    links.set(*kind, from, to, *size, *begins);
+                    links.set_fault(*kind, from, to, *size, *begins);
                 }
                 let gateways = |ends: &std::collections::BTreeSet<LinkEnd>| {
                     let gateway = |end: &LinkEnd| match end {
@@ -476,8 +476,8 @@
             }
             Action::Register { kind, size, begins } => {
                 match kind {
-                    FaultKind::RegisterFails => self.register.fails(*begins),
-                    _ => self.register.late(if *begins { *size } else { 0.0 }),
+                    FaultKind::RegisterFails => self.register.set_failing(*begins),
+                    _ => self.register.set_delay(if *begins { *size } else { 0.0 }),
                 }
                 self.record_fault(*kind, "register".into(), *begins);
             }
@@ -507,7 +507,7 @@
     fn list_condition(&self, block: i64, condition: NodeCondition, after: f64) {
         if let Some(target) = self.targets.get(&block) {
             let zone = zone_of(block, self.deployment.zones);
-            self.register.list(&target.node, &zone, block, condition, None, after);
+            self.register.set_entry(&target.node, &zone, block, condition, None, after);
         }
     }
 }
@@ -536,7 +536,7 @@
     let links = links.filter(|_| day.fault.iter().any(|fault| fault.kind.affects_links()));
     match links {
         Some(links) => links
-            .via(number, LinkEnd::Register, register.address)
+            .relay_address(number, LinkEnd::Register, register.address)
             .map_err(io_error("linking a gateway to the register")),
         None => Ok(register.address),
     }
@@ -554,7 +554,7 @@
     ) -> Result<TestBed<'a>, Error> {
         std::fs::create_dir_all(&options.folder).map_err(io_error(options.folder.display().to_string()))?;
         let record = Writer::file(&record_path(&options.folder), Clock::default())?;
-        let listener = target::listener().map_err(io_error("opening a port for the register"))?;
+        let listener = target::loopback_listener().map_err(io_error("opening a port for the register"))?;
         let relays = relays_nodes(day, deployment);
         let links = match &deployment.fleet {
             Some(fleet_settings) => {
@@ -571,9 +571,9 @@
                 block_of_node.lock().unwrap_or_else(std::sync::PoisonError::into_inner).get(node).copied()?;
             Some(LinkEnd::Node(block as u32))
         };
-        let relay = links.as_ref().filter(|_| relays).map(|links| links.by_register(link_end));
+        let relay = links.as_ref().filter(|_| relays).map(|links| links.relay_addresses(link_end));
         let mode = deployment.register.mode;
-        let register = Register::start_via(mode, listener, record.clone(), relay);
+        let register = Register::start_with_addresses(mode, listener, record.clone(), relay);
         let nominal =
             deployment.volumes.iter().map(|(id, volume)| (*id, deployment.nominal[volume.plan])).collect();
         let mut test_bed = TestBed {
@@ -582,7 +582,7 @@
             options,
             record: record.clone(),
             register: register.map_err(io_error("starting the register"))?,
-            fleet: Arc::default(),
+            shared_data: Arc::default(),
             nominal: Arc::new(nominal),
             volumes: Arc::new(deployment.volumes.iter().map(|(id, volume)| (*id, volume.size)).collect()),
             targets: BTreeMap::new(),
@@ -662,8 +662,8 @@
             retries: day.traffic.retries,
             backoff: 0.1,
             gateways: test_bed.gateways.iter().map(|(number, gateway)| (*number, gateway.address)).collect(),
-            plan: requests,
-            start,
+            schedule: requests,
+            start_time: start,
         },
         record.clone(),
     );
@@ -675,17 +675,20 @@
     test_bed.wait_until(start, start + day.lasts);
     let max_outer_limit = deployment.max_outer_limit();
     let deadline = start + day.lasts + 2.0 * max_outer_limit + 3.0;
-    while !clients.tally.lock().unwrap().done && record.clock.now() < deadline {
+    while !clients.counts.lock().unwrap().is_done && record.clock.now() < deadline {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let tally = clients.tally.lock().unwrap().clone();
-    if !tally.done {
-        warn!(open = tally.open, "clients still wait for answers after the end of the day; stopping them");
+    let client_counts = clients.counts.lock().unwrap().clone();
+    if !client_counts.is_done {
+        warn!(
+            open = client_counts.outstanding,
+            "clients still wait for answers after the end of the day; stopping them"
+        );
     }
     // Gives shots that are still running at the nodes time to appear in the record.
     std::thread::sleep(Duration::from_millis(200));
     drop(clients);
-    let link_faults = test_bed.links.as_ref().map(Links::struck).unwrap_or_default();
+    let link_faults = test_bed.links.as_ref().map(Links::injected_faults).unwrap_or_default();
     let processor_times =
         test_bed.gateways.iter().filter_map(|(number, gateway)| Some((*number, gateway.processor_time()?)));
     let processor_times = processor_times.collect();
@@ -694,5 +697,5 @@
     let memory = std::mem::take(&mut test_bed.memory);
     drop(test_bed);
     record.flush()?;
-    Ok(Outcome { gateway_counts, memory, clients: tally, link_faults, processor_times })
+    Ok(Outcome { gateway_counts, memory, clients: client_counts, link_faults, processor_times })
 }
--- a/crates/programs/src/bin/day.rs
+++ b/crates/programs/src/bin/day.rs
@@ -223,14 +223,14 @@
             .map_err(|error| error.to_string())?;
         transactions += report.all.transactions;
         let kinds: Vec<String> = short_day.fault.iter().map(|fault| format!("{:?}", fault.kind)).collect();
-        let hung = if clients.done { "" } else { ", HUNG" };
+        let hung = if clients.is_done { "" } else { ", HUNG" };
         print_line!(
             "seed {seed}: {} taken, {}{hung}  [{}]",
             report.all.transactions,
             report.verdict(),
             kinds.join(" ")
         );
-        if report.rules_kept() && clients.done {
+        if report.rules_kept() && clients.is_done {
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             eprintln!("record and logs: {}", folder.display());
